--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -184,7 +184,7 @@
 		ConfigVersion: e.watcher.Version(),
 		InFlight:      e.gateway.InFlight(),
 		Backends:      e.table.Dump(time.Now()),
-		Evacuated:     e.table.Evacuated(),
+		Evacuated:     e.table.EvacuatedZones(),
 		Quarantine:    e.gateway.Quarantine().Dump(time.Now()),
 	}
 }
--- a/pkg/entry/leafs.go
+++ b/pkg/entry/leafs.go
@@ -73,8 +73,8 @@
 	}
 	reply := gateway.LeafReply{Outcome: outcomeOf(resp.Code), Status: int(resp.Code), Content: &resp}
 	if l := resp.Load; l != nil {
-		load := replica.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Pace: l.Pace}
-		if reply.LoadErr = load.Check(); reply.LoadErr == nil {
+		load := replica.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Slowdown: l.Pace}
+		if reply.LoadErr = load.Validate(); reply.LoadErr == nil {
 			reply.Load = &load
 		}
 	}
@@ -101,7 +101,7 @@
 	case !time.Now().Before(call.Deadline):
 		return replica.TimedOut
 	case sock.Refuses(ctx, call.Leaf.Addr, sock.RefusedWithin):
-		return replica.Ended
+		return replica.ProcessExited
 	}
 	return replica.Broken
 }
--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -149,12 +149,12 @@
 	left := q.timeLeft(now)
 	var out []placed
 	for _, p := range found {
-		if !q.shards[p.shard].out && p.placement.Expected > left {
+		if !q.shards[p.shard].out && p.placement.ExpectedLatency > left {
 			out = append(out, p)
 		}
 	}
 	slices.SortFunc(out, func(a, b placed) int {
-		return cmp.Compare(b.placement.Expected, a.placement.Expected)
+		return cmp.Compare(b.placement.ExpectedLatency, a.placement.ExpectedLatency)
 	})
 	return out
 }
@@ -192,8 +192,8 @@
 
 // missing is how likely a request to a leaf is to bring nothing within a time.
 func missing(p replica.Placement, left time.Duration) float64 {
-	inTime := 1 - math.Exp(-float64(left)/float64(max(p.Expected, 1)))
-	return 1 - inTime*(1-p.Refusals)
+	inTime := 1 - math.Exp(-float64(left)/float64(max(p.ExpectedLatency, 1)))
+	return 1 - inTime*(1-p.RefusalRate)
 }
 
 // secondMissing is how likely the second request for a shard is to bring nothing in time; 1
@@ -204,7 +204,7 @@
 // away callers that could be served.
 func (q *Query) secondMissing(first placed, left time.Duration, now time.Time) float64 {
 	service := q.route.Shards[first.shard]
-	if q.route.MaxAttempts < 2 || !q.table.HasSecond(service, now) {
+	if q.route.MaxAttempts < 2 || !q.table.HasSecondRequestBudget(service, now) {
 		return 1
 	}
 	p, v := q.table.Place(service, q.route.Name, []string{first.placement.Leaf.ID}, now)
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -159,7 +159,7 @@
 		table: table, route: route, opts: opts, start: timing.Start, hardEnd: timing.HardEnd, returned: timing.Returned,
 		onTrial: timing.Suspect, trialOf: timing.SuspectOf,
 		shards: make([]shard, len(route.Shards)),
-		need:   Need(len(route.Shards), route.MinShare),
+		need:   Need(len(route.Shards), route.MinShardShare),
 	}
 	q.softEnd = q.hardEnd
 	if q.aimed() {
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -32,7 +32,7 @@
 		table.Upsert(replica.Leaf{ID: id, Services: []string{id[:1]}, Zone: "z", Slots: 2}, epoch)
 	}
 	route := &routing.Route{
-		Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShare: 0.5, MaxAttempts: 2,
+		Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShardShare: 0.5, MaxAttempts: 2,
 		TargetLatency: 200 * time.Millisecond,
 	}
 	return New(table, route, standard(), Timing{Start: epoch, HardEnd: at(3000)}), table
@@ -131,7 +131,7 @@
 func TestQueryForEveryShardGivesUpWithoutBudget(t *testing.T) {
 	_, table := fixture()
 	route := &routing.Route{Name: "r", Shards: []string{"a", "b"}, MaxAttempts: 2}
-	for table.TakeSecond("a", epoch) {
+	for table.TakeSecondRequestBudget("a", epoch) {
 	}
 	q := New(table, route, Options{}, Timing{Start: epoch, HardEnd: at(300)})
 	startAll(t, q)
@@ -211,7 +211,7 @@
 // the leafs answer in time again, or refused while it still has time to come again.
 func TestReturnedCallerIsHeldForRoom(t *testing.T) {
 	_, table := fixture()
-	route := &routing.Route{Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShare: 1, MaxAttempts: 2, TargetLatency: 200 * time.Millisecond}
+	route := &routing.Route{Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShardShare: 1, MaxAttempts: 2, TargetLatency: 200 * time.Millisecond}
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
 		for range 20 {
 			table.End(table.Begin(replica.Placement{Leaf: replica.Leaf{ID: id}}, "r", epoch), replica.Answered, at(1000))
@@ -248,7 +248,7 @@
 // it guards against: holding whoever comes again, whatever came of the ones before.
 func TestNobodyIsHeldWithoutHope(t *testing.T) {
 	_, table := fixture()
-	route := &routing.Route{Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShare: 1, MaxAttempts: 2, TargetLatency: 200 * time.Millisecond}
+	route := &routing.Route{Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShardShare: 1, MaxAttempts: 2, TargetLatency: 200 * time.Millisecond}
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
 		for range 20 {
 			table.End(table.Begin(replica.Placement{Leaf: replica.Leaf{ID: id}}, "r", epoch), replica.Answered, at(1000))
@@ -296,7 +296,7 @@
 		require.NotEqual(t, first[i].Call.Leaf.ID, s.Call.Leaf.ID)
 	}
 	require.Empty(t, q.Tick(at(100)))
-	require.False(t, table.TakeSecond("a", at(100)), "a burst of one is used up")
+	require.False(t, table.TakeSecondRequestBudget("a", at(100)), "a burst of one is used up")
 }
 
 func TestDeadlineHandedOnIsTheTarget(t *testing.T) {
@@ -345,7 +345,7 @@
 	q.need = 2
 	startAll(t, q)
 	q.Reply(0, 0, replica.Answered, at(20))
-	for table.TakeSecond("b", at(20)) {
+	for table.TakeSecondRequestBudget("b", at(20)) {
 		continue
 	}
 	q.Reply(1, 0, replica.TimedOut, at(150))
--- a/pkg/fanout/late.go
+++ b/pkg/fanout/late.go
@@ -11,7 +11,7 @@
 
 // hold lets a query wait for room; false: there is no hope of any.
 func (q *Query) hold(now time.Time) bool {
-	if !q.table.Hold(q.route.Name, now) {
+	if !q.table.AllowWait(q.route.Name, now) {
 		return false
 	}
 	q.held = true
@@ -25,24 +25,24 @@
 // A look costs a placement of every shard, so all queries of a route that are held share
 // one look each few milliseconds: a hundred of them would use up a small processor.
 func (q *Query) release(now time.Time) []Send {
-	if !now.Before(q.heldUntil) || q.table.HoldInVain(q.route.Name, q.heldSince, now) {
+	if !now.Before(q.heldUntil) || q.table.ShouldAbandonWait(q.route.Name, q.heldSince, now) {
 		q.inVain = true
-		q.table.HoldEnded(q.route.Name, false, now)
+		q.table.RecordWaitEnd(q.route.Name, false, now)
 		return nil
 	}
-	if !q.table.AdmitLook(q.route.Name, now) {
+	if !q.table.AllowCapacityCheck(q.route.Name, now) {
 		return nil
 	}
 	sends, refusal := q.admit(now, q.opts.HeldChance)
 	if refusal != nil {
 		if refusal.Late <= refusal.Spare && refusal.Chance >= q.opts.LeastChance {
-			q.table.HoldSign(q.route.Name, now)
+			q.table.RecordCapacitySign(q.route.Name, now)
 		}
 		return nil
 	}
 	q.held = false
 	q.overdue = true
-	q.table.HoldEnded(q.route.Name, true, now)
+	q.table.RecordWaitEnd(q.route.Name, true, now)
 	return sends
 }
 
--- a/pkg/fanout/progress.go
+++ b/pkg/fanout/progress.go
@@ -53,7 +53,7 @@
 
 // hedgeDelay is how long a request may take before a second one is due.
 func (q *Query) hedgeDelay() time.Duration {
-	typical := time.Duration(q.opts.HedgeAtTypical * float64(q.table.Typical(q.route.Name)))
+	typical := time.Duration(q.opts.HedgeAtTypical * float64(q.table.TypicalLatency(q.route.Name)))
 	floor := time.Duration(q.opts.HedgeAtTarget * float64(q.route.TargetLatency))
 	return max(typical, floor, q.opts.HedgeLeast)
 }
@@ -70,7 +70,7 @@
 	if !outcome.NotRun() {
 		q.ran = true
 	}
-	if outcome == replica.Ended {
+	if outcome == replica.ProcessExited {
 		q.leafEnded()
 	}
 	if outcome == replica.Answered && !s.covered {
@@ -106,7 +106,7 @@
 		s.lookAt = time.Time{}
 	case v != replica.Placed || q.tooLate(p, now):
 		s.out = s.open == 0 && !now.Before(q.lateEnd())
-	case !q.table.TakeSecond(q.route.Shards[i], now):
+	case !q.table.TakeSecondRequestBudget(q.route.Shards[i], now):
 		s.out = s.open == 0 && q.overBudget(now)
 	default:
 		return q.send(sends, i, p, why, now)
@@ -170,9 +170,9 @@
 		return !now.Add(q.opts.HedgeLeast).Before(q.hardEnd)
 	}
 	if !q.overdue && now.Before(q.softEnd) {
-		return p.Suspect || now.Add(p.Expected).After(q.softEnd)
+		return p.Suspect || now.Add(p.ExpectedLatency).After(q.softEnd)
 	}
-	return now.Add(p.Expected).After(q.hardEnd)
+	return now.Add(p.ExpectedLatency).After(q.hardEnd)
 }
 
 // Tick returns the second requests that are due.
@@ -204,7 +204,7 @@
 		return Repeat
 	}
 	for _, a := range s.attempts {
-		if a.open && q.table.Suspect(a.call, now) {
+		if a.open && q.table.IsSuspect(a.call, now) {
 			return Silent
 		}
 	}
--- a/pkg/fanout/replay_test.go
+++ b/pkg/fanout/replay_test.go
@@ -139,7 +139,7 @@
 func runReplay(load replayLoad, opts Options) replayResult {
 	r := &replay{load: load, opts: opts, rng: rand.New(rand.NewPCG(7, 11)), leafs: map[string]*simLeaf{}}
 	r.route = &routing.Route{
-		Name: "q", Kind: routing.Gather, MinShare: load.minShare, MaxAttempts: 2,
+		Name: "q", Kind: routing.Gather, MinShardShare: load.minShare, MaxAttempts: 2,
 		TargetLatency: time.Duration(load.targetMs) * time.Millisecond,
 	}
 	for s := range load.shards {
@@ -162,7 +162,7 @@
 	ties := rand.New(rand.NewPCG(3, 5)).Float64
 	for range r.load.instances {
 		r.tables = append(r.tables, replica.NewTable(replica.Options{
-			Zone: "z0", OtherZoneFactor: 1.6, ConnsPerLeaf: 2, Instances: 1, Ties: ties,
+			Zone: "z0", OtherZoneFactor: 1.6, ConnsPerLeaf: 2, Instances: 1, TieBreaker: ties,
 			Budget: replica.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Burst: r.load.burst},
 		}))
 	}
--- a/pkg/fanout/trial.go
+++ b/pkg/fanout/trial.go
@@ -66,7 +66,7 @@
 	case outcome == replica.Answered:
 		q.trying = false
 		return q.sendRest(now)
-	case outcome.Unreached():
+	case outcome.NotDelivered():
 		if len(q.shards[i].tried) < q.route.MaxAttempts {
 			return q.sendTrial(i, now)
 		}
--- a/pkg/fanout/trial_test.go
+++ b/pkg/fanout/trial_test.go
@@ -17,7 +17,7 @@
 		Zone: "z", OtherZoneFactor: 1.6, ConnsPerLeaf: 4, Instances: 1,
 		Budget: replica.BudgetOptions{Ratio: 1, Window: 10 * time.Second, Burst: 100},
 	})
-	route := &routing.Route{Name: "r", Kind: routing.Gather, MinShare: 0.9, MaxAttempts: 2, TargetLatency: 200 * time.Millisecond}
+	route := &routing.Route{Name: "r", Kind: routing.Gather, MinShardShare: 0.9, MaxAttempts: 2, TargetLatency: 200 * time.Millisecond}
 	for i := range 10 {
 		service := fmt.Sprint("s", i)
 		route.Shards = append(route.Shards, service)
@@ -37,11 +37,11 @@
 	sends, refusal := q.Start(epoch)
 	require.Nil(t, refusal)
 	require.Len(t, sends, 10)
-	require.Empty(t, q.Reply(0, 0, replica.Ended, at(10)))
-	require.Empty(t, q.Reply(1, 0, replica.Ended, at(11)))
+	require.Empty(t, q.Reply(0, 0, replica.ProcessExited, at(10)))
+	require.Empty(t, q.Reply(1, 0, replica.ProcessExited, at(11)))
 	require.Empty(t, q.Tick(at(150)), "slow ones get none either")
 	require.Equal(t, Running, q.State(at(150)))
-	require.Empty(t, q.Reply(2, 0, replica.Ended, at(151)))
+	require.Empty(t, q.Reply(2, 0, replica.ProcessExited, at(151)))
 	require.Equal(t, Insufficient, q.State(at(151)), "the third is enough")
 	require.True(t, q.GivenUp())
 	require.True(t, q.InFlight(), "what waits at the other leafs is to be withdrawn")
@@ -54,14 +54,14 @@
 func TestAnAnswerLetsEndedLeafsBeMadeUpFor(t *testing.T) {
 	q := wide(Timing{})
 	q.Start(epoch)
-	q.Reply(0, 0, replica.Ended, at(10))
-	q.Reply(1, 0, replica.Ended, at(11))
+	q.Reply(0, 0, replica.ProcessExited, at(10))
+	q.Reply(1, 0, replica.ProcessExited, at(11))
 	q.Reply(2, 0, replica.Answered, at(12))
 	require.False(t, q.Next(at(12)).After(at(12)))
 	sends := q.Tick(at(12))
 	require.Len(t, sends, 2)
 	require.Equal(t, Repeat, sends[0].Reason)
-	require.Len(t, q.Reply(3, 0, replica.Ended, at(13)), 1, "later ones at once")
+	require.Len(t, q.Reply(3, 0, replica.ProcessExited, at(13)), 1, "later ones at once")
 	for i := 4; i < 10; i++ {
 		q.Reply(i, 0, replica.Answered, at(20))
 	}
@@ -82,7 +82,7 @@
 		ran     bool
 	}{
 		{replica.Answered, 9, Running, true},
-		{replica.Ended, 0, Insufficient, true},
+		{replica.ProcessExited, 0, Insufficient, true},
 		{replica.Refused, 0, Insufficient, false},
 		{replica.TimedOut, 0, Insufficient, true},
 		{replica.NotSent, 1, Running, false},
--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -81,7 +81,7 @@
 
 // sendBatch reports whether a peer took the requests.
 func (r *gathering) sendBatch(zone string, sends []fanout.Send) bool {
-	typical := float64(r.g.table.Typical(r.route.Name))
+	typical := float64(r.g.table.TypicalLatency(r.route.Name))
 	b := Batch{
 		Request: r.req, Route: r.route, Zone: zone, Deadline: sends[0].Deadline,
 		Flush: time.Duration(flushAtTypical * typical), Step: time.Duration(stepAtTypical * typical),
--- a/pkg/gateway/config.go
+++ b/pkg/gateway/config.go
@@ -18,13 +18,13 @@
 	cold := make(map[string]replica.ColdLimit)
 	for name, s := range c.Services {
 		limits[name] = s.MaxConns
-		if s.ColdPerSecond > 0 {
+		if s.ColdRequestsPerSecond > 0 {
 			cold[name] = g.coldLimit(s)
 		}
 	}
 	g.table.SetMaxConns(limits)
 	g.table.SetColdLimits(cold)
-	g.table.SetHomes(homes(c))
+	g.table.SetAllowedRegions(homes(c))
 	g.table.SetShards(onlyShards(c))
 	g.splitter.Reset()
 	if g.config.Swap(c) == nil {
@@ -36,15 +36,15 @@
 // coldLimit is what a cold leaf of a service may get from all instances together.
 func (g *Gateway) coldLimit(s routing.Service) replica.ColdLimit {
 	opts := g.opts.Load()
-	return replica.ColdLimit{PerSecond: s.ColdPerSecond*opts.ColdFactor + opts.ColdSlack, For: s.ColdFor}
+	return replica.ColdLimit{PerSecond: s.ColdRequestsPerSecond*opts.ColdFactor + opts.ColdSlack, Duration: s.ColdDuration}
 }
 
 // homes are the regions to which the routes of a configuration are confined, by the route's name.
 func homes(c *routing.Config) map[string][]string {
 	out := make(map[string][]string)
 	c.Routes(func(r *routing.Route) bool {
-		if len(r.Homes) > 0 {
-			out[r.Name] = r.Homes
+		if len(r.AllowedRegions) > 0 {
+			out[r.Name] = r.AllowedRegions
 		}
 		return true
 	})
--- a/pkg/gateway/evacuation.go
+++ b/pkg/gateway/evacuation.go
@@ -34,7 +34,7 @@
 
 // ReadmitExcept takes back the evacuated zones for which a condition does not hold.
 func (g *Gateway) ReadmitExcept(evacuated func(zone string) bool) {
-	for _, zone := range g.table.Evacuated() {
+	for _, zone := range g.table.EvacuatedZones() {
 		if !evacuated(zone) {
 			g.SetEvacuated(zone, false)
 		}
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 	require.NoError(tb, err)
 	tb.Cleanup(g.Close)
 	gather := &routing.Route{
-		Name: "all", Host: "h", Prefix: "/all/", Kind: routing.Gather, TopK: 20, MinShare: 0.89,
+		Name: "all", Host: "h", Prefix: "/all/", Kind: routing.Gather, TopK: 20, MinShardShare: 0.89,
 		MaxAttempts: 2, TargetLatency: 300 * time.Millisecond,
 	}
 	for i := range n {
--- a/pkg/gateway/gatherers.go
+++ b/pkg/gateway/gatherers.go
@@ -40,7 +40,7 @@
 
 // query runs a query over all shards of its route, here or at a gatherer.
 func (g *Gateway) query(ctx context.Context, req *Request, route *routing.Route, version int64, end time.Time) Answer {
-	if g.gatherers == nil || !g.table.AtHome(route.Name) {
+	if g.gatherers == nil || !g.table.OwnZoneAllowed(route.Name) {
 		return g.gather(ctx, req, route, end)
 	}
 	a, ok := g.gatherers.Ask(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, End: end})
--- a/pkg/gateway/leafcall.go
+++ b/pkg/gateway/leafcall.go
@@ -20,14 +20,14 @@
 // ended records the outcome of a leaf call that took some time.
 func (g *Gateway) ended(call LeafCall, entry *replica.Call, reply LeafReply, took time.Duration, now time.Time) {
 	g.takeLoad(call, entry, reply, now)
-	turn := g.table.EndAfter(entry, reply.Outcome, took, now)
+	turn := g.table.EndWithLatency(entry, reply.Outcome, took, now)
 	g.stats.leaf(reply.Outcome, took)
-	if reply.Outcome == replica.Ended {
+	if reply.Outcome == replica.ProcessExited {
 		g.leafEnded(call, entry, now)
 	}
 	if reply.Outcome != replica.Answered && reply.Outcome != replica.Abandoned {
 		event := "leaf_call_failed"
-		if reply.Outcome == replica.Ended {
+		if reply.Outcome == replica.ProcessExited {
 			event = "leaf_ended" // A budget of lines of its own: rare, and of weight.
 		}
 		g.log.Decision(event, call.Request.about(entry.Class(), oplog.Fields{
@@ -37,9 +37,9 @@
 		}))
 	}
 	switch turn {
-	case replica.WentDown:
+	case replica.MarkedDown:
 		g.log.State("leaf_down", oplog.Fields{"leaf": call.Leaf.ID, "service": call.Service, "leaf_zone": call.Leaf.Zone, "error": errText(reply.Err)})
-	case replica.CameBack:
+	case replica.Recovered:
 		g.log.State("leaf_up", oplog.Fields{"leaf": call.Leaf.ID, "service": call.Service, "leaf_zone": call.Leaf.Zone})
 	}
 }
@@ -51,7 +51,7 @@
 		g.stats.malformedLoad()
 		g.log.Decision("leaf_load_malformed", oplog.Fields{"leaf": call.Leaf.ID, "service": call.Service, "error": reply.LoadErr.Error()})
 	case reply.Load != nil:
-		g.table.TakeLoad(entry, *reply.Load, now)
+		g.table.RecordLoad(entry, *reply.Load, now)
 	}
 }
 
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -33,7 +33,7 @@
 // leafEnded takes over that a leaf ended while it had a request.
 func (g *Gateway) leafEnded(call LeafCall, entry *replica.Call, now time.Time) {
 	req := call.Request
-	g.noteTurn(req.ID, g.quarantine.Ended(req.Key, req.ID, call.Leaf.ID, call.Service, entry.Began(), now))
+	g.noteTurn(req.ID, g.quarantine.Ended(req.Key, req.ID, call.Leaf.ID, call.Service, entry.StartTime(), now))
 }
 
 // trialEnded takes over how the trial of a suspect ended.
@@ -50,9 +50,9 @@
 	switch {
 	case outcome == replica.Answered:
 		return quarantine.Answered
-	case outcome == replica.Ended || outcome == replica.Broken || outcome == replica.Crowded:
+	case outcome == replica.ProcessExited || outcome == replica.Broken || outcome == replica.ConnLimitReached:
 		return quarantine.LeafEnded
-	case outcome.Unreached():
+	case outcome.NotDelivered():
 		return quarantine.Unsent
 	}
 	return quarantine.Unresolved
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -24,7 +24,7 @@
 			return answered(ctx, call)
 		}
 		calls.Add(1)
-		return LeafReply{Outcome: replica.Ended}
+		return LeafReply{Outcome: replica.ProcessExited}
 	}
 }
 
@@ -81,7 +81,7 @@
 	g := newGateway(t, 20, func(ctx context.Context, call LeafCall) LeafReply {
 		if call.Service == "s7" && strings.Contains(call.Request.Path, "deadly") {
 			ended.Add(1)
-			return LeafReply{Outcome: replica.Ended}
+			return LeafReply{Outcome: replica.ProcessExited}
 		}
 		return answered(ctx, call)
 	})
@@ -115,7 +115,7 @@
 			var ended, withdrawn atomic.Int64
 			g := newGateway(t, 20, func(ctx context.Context, _ LeafCall) LeafReply {
 				if !told && ended.Add(1) <= 3 {
-					return LeafReply{Outcome: replica.Ended}
+					return LeafReply{Outcome: replica.ProcessExited}
 				}
 				<-ctx.Done()
 				withdrawn.Add(1)
@@ -199,7 +199,7 @@
 // On a machine short of processor time nobody learned whether the leaf of a trial had ended: its
 // connection had only broken off, and the request was tried again every few seconds.
 func TestTrialThatBreaksOffCountsAsAnEnd(t *testing.T) {
-	for _, outcome := range []replica.Outcome{replica.Broken, replica.Crowded, replica.Ended} {
+	for _, outcome := range []replica.Outcome{replica.Broken, replica.ConnLimitReached, replica.ProcessExited} {
 		g := newGateway(t, 20, func(context.Context, LeafCall) LeafReply { return LeafReply{Outcome: outcome} })
 		key := quarantine.KeyOf("/all/x")
 		for _, leaf := range []string{"a", "b", "c"} {
--- a/pkg/gateway/single.go
+++ b/pkg/gateway/single.go
@@ -83,7 +83,7 @@
 	if verdict != replica.Placed {
 		return false
 	}
-	if len(r.tried) > 0 && !r.g.table.TakeSecond(r.service, now) {
+	if len(r.tried) > 0 && !r.g.table.TakeSecondRequestBudget(r.service, now) {
 		return false
 	}
 	entry := r.g.table.Begin(p, r.route.Name, now)
--- a/pkg/gateway/tick.go
+++ b/pkg/gateway/tick.go
@@ -42,7 +42,7 @@
 	if !g.leafs.Probe(context.Background(), leaf, g.healthPath(leaf), by) {
 		return
 	}
-	if g.table.ZoneAnswered(leaf.Zone, time.Now()) {
+	if g.table.RecordZoneReply(leaf.Zone, time.Now()) {
 		g.log.State("zone_regained", oplog.Fields{"suspected_zone": leaf.Zone, "leaf": leaf.ID})
 	}
 }
@@ -80,14 +80,14 @@
 // zones are suspected.
 func (g *Gateway) isolated() bool {
 	c := g.config.Load()
-	if c == nil || !g.table.Cut() {
+	if c == nil || !g.table.HasSuspectedZone() {
 		return false
 	}
 	lacking := false
 	c.Routes(func(r *routing.Route) bool {
 		if r.Kind == routing.Gather {
-			need := fanout.Need(len(r.Shards), r.MinShare)
-			servable, reachable := g.table.Servable(r.Shards)
+			need := fanout.Need(len(r.Shards), r.MinShardShare)
+			servable, reachable := g.table.CountServable(r.Shards)
 			// Shards that no instance may ask do not isolate this one.
 			lacking = reachable < need && servable >= need
 		}
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	if n.peering == nil {
-		n.table.SetWarmers(replica.Warmers{Alone: set.Leafs.Instances})
+		n.table.SetWarmUpAssignment(replica.WarmUpAssignment{IsolatedInstances: set.Leafs.Instances})
 	}
 	n.registerGauges()
 	n.registerPeers()
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -44,7 +44,7 @@
 	}
 	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Room: room(set)}
 	agent := peers.New(self, seedAddrs(set.Peers.Seeds, addr.Port), udp, codec, n.log)
-	agent.ShareWarming(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmers)
+	agent.ShareWarming(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmUpAssignment)
 	server.Heed(n.gateway.Quarantine())
 	agent.ShareQuarantine(n.gateway.Quarantine())
 	if set.Peers.Batches {
@@ -53,7 +53,7 @@
 	if set.Peers.Gather {
 		n.gateway.UseGatherers(agent)
 		slack := peers.Slack{Total: set.Bounds.SecondSlack, Zones: set.Bounds.Zones, Window: settings.Duration(set.Bounds.SecondWindowMs)}
-		agent.ShareSlack(slack, n.table.SetBursts)
+		agent.ShareSlack(slack, n.table.SetBurstLimits)
 	}
 	if set.Peers.Feed {
 		n.follower.OnChange(server.Changed)
--- a/pkg/node/sink.go
+++ b/pkg/node/sink.go
@@ -18,15 +18,15 @@
 	switch change {
 	case replica.Moved:
 		n.leafs.Forget(leaf.ID)
-	case replica.Reborn:
+	case replica.Restarted:
 		n.leafs.Restarted(leaf.ID)
 	}
 	fields := oplog.Fields{
 		"leaf": leaf.ID, "services": leaf.Services, "leaf_zone": leaf.Zone, "sequence": leaf.Sequence,
-		"draining": leaf.Draining, "cold_ms": leaf.Cold.Milliseconds(),
+		"draining": leaf.Draining, "cold_ms": leaf.ColdRemaining.Milliseconds(),
 	}
-	if !leaf.Born.IsZero() {
-		fields["born"] = leaf.Born.UTC()
+	if !leaf.StartedAt.IsZero() {
+		fields["born"] = leaf.StartedAt.UTC()
 	}
 	n.log.Decision("leaf_"+change.String(), fields)
 }
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -96,7 +96,7 @@
 		Name: set.Name, Zone: set.Zone, Ready: n.ready(), Draining: n.draining.Load(),
 		UptimeMs: time.Since(n.started).Milliseconds(), InFlight: n.gateway.InFlight(),
 		OpenConns: n.pool.Stats.OpenConns.Load(), Leafs: n.table.Dump(time.Now()), Members: n.peering.state(), Peers: n.peering.connected(),
-		Evacuated:  n.table.Evacuated(),
+		Evacuated:  n.table.EvacuatedZones(),
 		Quarantine: n.gateway.Quarantine().Dump(time.Now()),
 		Store:      n.storeState(),
 	}
@@ -124,7 +124,7 @@
 		}
 		return 0
 	})
-	gauge("node_evacuated_zones", func() float64 { return float64(len(n.table.Evacuated())) })
+	gauge("node_evacuated_zones", func() float64 { return float64(len(n.table.EvacuatedZones())) })
 	gauge("node_config_version", func() float64 {
 		if c := n.gateway.Config(); c != nil {
 			return float64(c.Version)
--- a/pkg/peers/batches.go
+++ b/pkg/peers/batches.go
@@ -118,7 +118,7 @@
 		return errDraining
 	case s.table.IsEvacuated(leaf.Zone):
 		return errEvacuated
-	case s.table.Guarded(leaf.ID, now):
+	case s.table.IsColdLimited(leaf.ID, now):
 		return errCold
 	case s.quarantine != nil && s.quarantine.Left(w.req.Key, now) > 0:
 		return errQuarantined
--- a/pkg/peers/conn.go
+++ b/pkg/peers/conn.go
@@ -262,7 +262,7 @@
 	out := make([]gateway.BatchReply, 0, len(f.Parts))
 	body := f.Body
 	for _, part := range f.Parts {
-		if int(part.Leaf) >= len(p.open) || !p.open[part.Leaf] || !replica.Outcome(part.Outcome).Known() {
+		if int(part.Leaf) >= len(p.open) || !p.open[part.Leaf] || !replica.Outcome(part.Outcome).Valid() {
 			continue
 		}
 		p.open[part.Leaf] = false
--- a/pkg/peers/frames.go
+++ b/pkg/peers/frames.go
@@ -228,7 +228,7 @@
 	if l == nil {
 		return nil
 	}
-	return []uint32{uint32(l.Running), uint32(l.Waiting), uint32(l.Slots), uint32(100 * l.Pace)}
+	return []uint32{uint32(l.Running), uint32(l.Waiting), uint32(l.Slots), uint32(100 * l.Slowdown)}
 }
 
 // loadOf is the inverse of loadFrame.
@@ -239,8 +239,8 @@
 	if len(f) != loadFigures {
 		return nil, fmt.Errorf("load of %d figures", len(f))
 	}
-	l := &replica.Load{Running: int(f[0]), Waiting: int(f[1]), Slots: int(f[2]), Pace: float64(f[3]) / 100}
-	return l, l.Check()
+	l := &replica.Load{Running: int(f[0]), Waiting: int(f[1]), Slots: int(f[2]), Slowdown: float64(f[3]) / 100}
+	return l, l.Validate()
 }
 
 // Request is a caller's request as it goes to leafs.
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -72,8 +72,8 @@
 	quarantine *quarantine.Table
 	// shared is told this instance's part of the slack, and warmers who may send requests to cold
 	// leafs.
-	shared  func(replica.Bursts)
-	warmers func(replica.Warmers)
+	shared  func(replica.BurstLimits)
+	warmers func(replica.WarmUpAssignment)
 	warming warming
 
 	// Sent and Fallbacks count batches that went through a peer, and those that
@@ -101,7 +101,7 @@
 
 // ShareSlack lets told know this instance's part of the slack, each tick. It is called
 // before Run.
-func (p *Peers) ShareSlack(slack Slack, told func(replica.Bursts)) {
+func (p *Peers) ShareSlack(slack Slack, told func(replica.BurstLimits)) {
 	p.slack = slackShare{slack: slack, started: time.Now()}
 	p.shared = told
 }
@@ -109,7 +109,7 @@
 // ShareWarming lets told know who may send requests to cold leafs, each tick. zones are those that
 // have instances, and expectsPeers says that this instance is not the only one. It is called before
 // Run.
-func (p *Peers) ShareWarming(zones []string, expectsPeers bool, told func(replica.Warmers)) {
+func (p *Peers) ShareWarming(zones []string, expectsPeers bool, told func(replica.WarmUpAssignment)) {
 	p.warming = warming{zones: zones, expectsPeers: expectsPeers}
 	p.warmers = told
 }
--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -35,10 +35,10 @@
 // How a leaf ended passes through a peer: the instance that runs the query learns of it.
 func TestEndOfALeafPassesThroughAPeer(t *testing.T) {
 	b := newBench(t, func(context.Context, gateway.LeafCall) gateway.LeafReply {
-		return gateway.LeafReply{Outcome: replica.Ended}
+		return gateway.LeafReply{Outcome: replica.ProcessExited}
 	})
 	got := make(sink, 4)
 	_, ok := b.conn.send(message(time.Second, leafs("a")), got.take)
 	require.True(t, ok)
-	require.Equal(t, replica.Ended, (<-got)[0].Reply.Outcome)
+	require.Equal(t, replica.ProcessExited, (<-got)[0].Reply.Outcome)
 }
--- a/pkg/peers/slack.go
+++ b/pkg/peers/slack.go
@@ -52,9 +52,9 @@
 // queries, a window's slack covers an overload of some seconds. The zones have equal parts, so that one that is cut off from the others
 // knows its own; within a zone the counts do not fall within a minute, and a part that sees less
 // than half of its zone keeps to the small share.
-func (s *slackShare) share(r roles, members []membership.Member, zone string, now time.Time) replica.Bursts {
+func (s *slackShare) share(r roles, members []membership.Member, zone string, now time.Time) replica.BurstLimits {
 	if s.slack.Total <= 0 {
-		return replica.Bursts{}
+		return replica.BurstLimits{}
 	}
 	known := 1
 	for _, m := range members {
@@ -70,7 +70,7 @@
 		s.seenAt = now
 	}
 	ofZone := s.slack.Total / float64(max(len(s.slack.Zones), 1))
-	b := replica.Bursts{Single: singlePart * ofZone / float64(s.members)}
+	b := replica.BurstLimits{Single: singlePart * ofZone / float64(s.members)}
 	gathers := len(r.gatherers) == 0 && 2*(r.near+1) > s.members
 	switch {
 	case gathers:
--- a/pkg/peers/slack_test.go
+++ b/pkg/peers/slack_test.go
@@ -26,7 +26,7 @@
 }
 
 // sum adds up the shares of members that all know each other.
-func sum(all []membership.Member, slack Slack) (total, greatest replica.Bursts) {
+func sum(all []membership.Member, slack Slack) (total, greatest replica.BurstLimits) {
 	for i, self := range all {
 		others := without(all, i)
 		s := &slackShare{slack: slack, started: slackStart}
--- a/pkg/peers/warm.go
+++ b/pkg/peers/warm.go
@@ -34,7 +34,7 @@
 // What cold leafs may get is divided among those that are drawn. An instance that sees only a
 // few others takes too large a part: one that has just started, was frozen, or is in the smaller
 // part of a zone that has fallen apart sends nothing.
-func (w *warming) step(self membership.Member, members []membership.Member, r roles, now time.Time) replica.Warmers {
+func (w *warming) step(self membership.Member, members []membership.Member, r roles, now time.Time) replica.WarmUpAssignment {
 	if now.Sub(w.steppedAt) > stoodStill {
 		w.settledAt, w.drawnAt = time.Time{}, time.Time{}
 	}
@@ -44,32 +44,32 @@
 	since(&w.settledAt, 2*(r.near+1) > present+1 && (len(members) > 0 || !w.expectsPeers), now)
 	since(&w.drawnAt, len(r.gatherers) == 0, now)
 	if !w.expectsPeers && len(members) == 0 {
-		return replica.Warmers{Alone: 1}
+		return replica.WarmUpAssignment{IsolatedInstances: 1}
 	}
 	if !lasted(w.settledAt, now) {
-		return replica.Warmers{}
+		return replica.WarmUpAssignment{}
 	}
-	out := replica.Warmers{Self: self.Name, Zone: self.Zone, Present: map[string]bool{self.Zone: true}}
+	out := replica.WarmUpAssignment{Self: self.Name, Zone: self.Zone, PresentZones: map[string]bool{self.Zone: true}}
 	// A member that this one believes dead may be alive for the others. It keeps its part until it
 	// is forgotten, or each would divide among others.
 	known := slices.DeleteFunc(slices.Clone(members), func(m membership.Member) bool { return m.Status == membership.Left })
 	for _, m := range known {
-		out.Present[m.Zone] = true
+		out.PresentZones[m.Zone] = true
 	}
 	for _, zone := range w.zones {
-		out.Present[zone] = true
+		out.PresentZones[zone] = true
 	}
 	near := slices.DeleteFunc(slices.Clone(known), func(m membership.Member) bool { return m.Zone != self.Zone })
-	out.Own = group(self, near, lasted(w.drawnAt, now))
-	out.Rest = group(self, known, lasted(w.drawnAt, now))
+	out.OwnZone = group(self, near, lasted(w.drawnAt, now))
+	out.ZonesWithoutInstances = group(self, known, lasted(w.drawnAt, now))
 	return out
 }
 
 // group are the instances that warm the same leafs; drawn: this one may be among those that run
 // queries.
-func group(self membership.Member, known []membership.Member, drawn bool) replica.Warming {
+func group(self membership.Member, known []membership.Member, drawn bool) replica.WarmUpGroup {
 	all := byRoom(self.Zone, append(slices.Clone(known), self))
-	out := replica.Warming{Single: names(all)}
+	out := replica.WarmUpGroup{Single: names(all)}
 	if drawn {
 		out.Queries = names(gatherers(all))
 	}
--- a/pkg/peers/warm_test.go
+++ b/pkg/peers/warm_test.go
@@ -77,14 +77,14 @@
 	seeds := []string{s.nodes[0].self.Addr, s.nodes[min(1, len(s.nodes)-1)].self.Addr}
 	n.state = membership.New(n.self, seeds, membership.Defaults(), rand.New(rand.NewPCG(uint64(i), s.rng.Uint64())), s.now())
 	n.warming = warming{zones: slices.Sorted(maps.Keys(s.zones())), expectsPeers: len(s.nodes) > 1}
-	n.table = replica.NewTable(replica.Options{Zone: n.self.Zone, ConnsPerLeaf: 100, Instances: 1, Ties: func() float64 { return 0 }})
+	n.table = replica.NewTable(replica.Options{Zone: n.self.Zone, ConnsPerLeaf: 100, Instances: 1, TieBreaker: func() float64 { return 0 }})
 	n.table.SetShards(map[string]bool{"queries": true})
 	n.table.SetColdLimits(map[string]replica.ColdLimit{"queries": {PerSecond: warmLimit}, "single": {PerSecond: warmLimit}})
 	for zone := range s.zones() {
 		for _, service := range []string{"queries", "single"} {
 			for k := range warmLeafs {
 				id := fmt.Sprint(service, "-", zone, "-", k)
-				n.table.Upsert(replica.Leaf{ID: id, Services: []string{service}, Zone: zone, Cold: time.Hour, Sequence: 1}, s.now())
+				n.table.Upsert(replica.Leaf{ID: id, Services: []string{service}, Zone: zone, ColdRemaining: time.Hour, Sequence: 1}, s.now())
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 func (s *warmSim) ask(n *warmNode) {
 	members := n.state.Members()
 	r := drawRoles(n.self, members, never)
-	n.table.SetWarmers(n.warming.step(n.self, members, r, s.now()))
+	n.table.SetWarmUpAssignment(n.warming.step(n.self, members, r, s.now()))
 	for _, service := range []string{"queries", "single"} {
 		for range 2 * int(warmLimit) {
 			p, v := n.table.Place(service, "class", nil, s.now())
--- a/pkg/replica/budget.go
+++ b/pkg/replica/budget.go
@@ -44,9 +44,9 @@
 	started time.Time
 }
 
-// Bursts are how many second requests this instance may send to a service beyond the
+// BurstLimits are how many second requests this instance may send to a service beyond the
 // ratio in any window: to a shard of queries, and to a service that is asked alone.
-type Bursts struct{ Shard, Single float64 }
+type BurstLimits struct{ Shard, Single float64 }
 
 // NewBudget returns a budget with nothing counted.
 func NewBudget(opts BudgetOptions) *Budget {
@@ -75,15 +75,15 @@
 	return int(b.current % n)
 }
 
-// Request counts one request for the service, sent or not.
-func (b *Budget) Request(now time.Time) {
+// CountRequest counts one request for the service, sent or not.
+func (b *Budget) CountRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.first[b.advance(now)]++
 }
 
-// Take counts one second request if the budget has room for it.
-func (b *Budget) Take(now time.Time) bool {
+// TryTake counts one second request if the budget has room for it.
+func (b *Budget) TryTake(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := b.advance(now)
@@ -94,8 +94,8 @@
 	return true
 }
 
-// Has reports whether the budget has room for a second request.
-func (b *Budget) Has(now time.Time) bool {
+// Available reports whether the budget has room for a second request.
+func (b *Budget) Available(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.room(b.advance(now)) >= 1
@@ -116,8 +116,8 @@
 	return ratioPart*b.opts.Ratio*float64(first) + b.opts.Burst - float64(second)
 }
 
-// SetBursts puts this instance's part of what all may send beyond the ratio in force.
-func (t *Table) SetBursts(b Bursts) {
+// SetBurstLimits puts this instance's part of what all may send beyond the ratio in force.
+func (t *Table) SetBurstLimits(b BurstLimits) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.bursts = b
@@ -143,7 +143,7 @@
 func (t *Table) budgetOptions(serviceName string) BudgetOptions {
 	opts := t.opts.Budget
 	switch {
-	case t.bursts == Bursts{}:
+	case t.bursts == BurstLimits{}:
 	case t.shards[serviceName]:
 		opts.Burst = t.bursts.Shard
 	default:
@@ -158,20 +158,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.service(serviceName)
-	s.budget.Request(now)
+	s.budget.CountRequest(now)
 	s.pace(now)
 }
 
-// HasSecond reports whether a second request would be within the service's budget.
-func (t *Table) HasSecond(serviceName string, now time.Time) bool {
+// HasSecondRequestBudget reports whether a second request would be within the service's budget.
+func (t *Table) HasSecondRequestBudget(serviceName string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.service(serviceName).budget.Has(now)
+	return t.service(serviceName).budget.Available(now)
 }
 
-// TakeSecond takes one second request out of the service's budget.
-func (t *Table) TakeSecond(serviceName string, now time.Time) bool {
+// TakeSecondRequestBudget takes one second request out of the service's budget.
+func (t *Table) TakeSecondRequestBudget(serviceName string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.service(serviceName).budget.Take(now)
+	return t.service(serviceName).budget.TryTake(now)
 }
--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -22,9 +22,9 @@
 	// TimedOut: no answer within the time the leaf was given; it may have
 	// run.
 	TimedOut
-	// Crowded: a new connection ended before it brought a reply, as leafs end
+	// ConnLimitReached: a new connection ended before it brought a reply, as leafs end
 	// those beyond their limit; the request may have run.
-	Crowded
+	ConnLimitReached
 	// Abandoned: given up from this side; the leaf takes at least as long as
 	// was waited.
 	Abandoned
@@ -34,9 +34,9 @@
 	// PeerRefused: the peer did not send the request; not run, and nothing is known
 	// of the leaf.
 	PeerRefused
-	// Ended: the leaf's process ended while it had the request, which may have run; a
+	// ProcessExited: the leaf's process ended while it had the request, which may have run; a
 	// request may also be the cause.
-	Ended
+	ProcessExited
 )
 
 // String names the outcome in logs and metrics.
@@ -44,17 +44,17 @@
 	return [...]string{"answered", "failed", "refused", "misdirected", "not_sent", "broken", "timed_out", "crowded", "abandoned", "peer_lost", "peer_refused", "ended"}[o]
 }
 
-// Known reports whether the outcome is one of the above.
-func (o Outcome) Known() bool { return o >= Answered && o <= Ended }
+// Valid reports whether the outcome is one of the above.
+func (o Outcome) Valid() bool { return o >= Answered && o <= ProcessExited }
 
 // NotRun reports whether the outcome is certain proof that the request did
 // not run and will not.
 func (o Outcome) NotRun() bool {
-	return o == Refused || o.Unreached()
+	return o == Refused || o.NotDelivered()
 }
 
-// Unreached reports whether the outcome proves that no leaf of the service got the request.
-func (o Outcome) Unreached() bool { return o == Misdirected || o == NotSent || o == PeerRefused }
+// NotDelivered reports whether the outcome proves that no leaf of the service got the request.
+func (o Outcome) NotDelivered() bool { return o == Misdirected || o == NotSent || o == PeerRefused }
 
 // Call is a request in flight at a leaf.
 type Call struct {
@@ -69,8 +69,8 @@
 // Class is the class of work that the request belongs to.
 func (c *Call) Class() string { return c.class }
 
-// Began is when the request was sent.
-func (c *Call) Began() time.Time { return c.start }
+// StartTime is when the request was sent.
+func (c *Call) StartTime() time.Time { return c.start }
 
 // Begin counts a request as in flight at the placed leaf. It returns nil when
 // other requests have taken the last of the leaf's connections since it was
@@ -90,31 +90,31 @@
 	return &Call{Leaf: p.Leaf, row: r, class: className, start: now}
 }
 
-// Turn says whether a call's outcome changed what is believed of its leaf.
-type Turn int
+// HealthChange says whether a call's outcome changed what is believed of its leaf.
+type HealthChange int
 
 const (
-	// Same: up or down as before.
-	Same Turn = iota
-	// WentDown: the leaf is out of use until it is probed.
-	WentDown
-	// CameBack: a leaf that was down has answered.
-	CameBack
+	// HealthUnchanged: up or down as before.
+	HealthUnchanged HealthChange = iota
+	// MarkedDown: the leaf is out of use until it is probed.
+	MarkedDown
+	// Recovered: a leaf that was down has answered.
+	Recovered
 )
 
 // End takes over what became of a call.
-func (t *Table) End(c *Call, outcome Outcome, now time.Time) Turn {
-	return t.EndAfter(c, outcome, now.Sub(c.start), now)
+func (t *Table) End(c *Call, outcome Outcome, now time.Time) HealthChange {
+	return t.EndWithLatency(c, outcome, now.Sub(c.start), now)
 }
 
-// EndAfter is End for a call whose leaf took less time than has passed since: a peer
+// EndWithLatency is End for a call whose leaf took less time than has passed since: a peer
 // that it went through has kept the reply for others.
-func (t *Table) EndAfter(c *Call, outcome Outcome, took time.Duration, now time.Time) Turn {
+func (t *Table) EndWithLatency(c *Call, outcome Outcome, took time.Duration, now time.Time) HealthChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.leafs[c.Leaf.ID]
 	if r == nil || r != c.row {
-		return Same
+		return HealthUnchanged
 	}
 	r.end(c.start)
 	wasUp := r.failures < downAfter
@@ -122,11 +122,11 @@
 	isUp := r.failures < downAfter
 	switch {
 	case wasUp && !isUp:
-		return WentDown
+		return MarkedDown
 	case isUp && !wasUp:
-		return CameBack
+		return Recovered
 	}
-	return Same
+	return HealthUnchanged
 }
 
 // learn updates what is known of r.
@@ -151,11 +151,11 @@
 	case NotSent:
 		r.unreached = true
 		r.fail(now)
-	case Broken, Ended:
+	case Broken, ProcessExited:
 		r.unreached = false
 		r.learnRefusal(true, now)
 		r.fail(now)
-	case Crowded:
+	case ConnLimitReached:
 		r.unreached = false
 		r.learnRefusal(true, now)
 		r.learnCrowded(now)
--- a/pkg/replica/class.go
+++ b/pkg/replica/class.go
@@ -68,8 +68,8 @@
 	return typicalDefault
 }
 
-// Typical is the typical reply time of a class.
-func (t *Table) Typical(className string) time.Duration {
+// TypicalLatency is the typical reply time of a class.
+func (t *Table) TypicalLatency(className string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.typical(className)
@@ -105,9 +105,9 @@
 // a usual reply.
 const lookEvery = 5 * time.Millisecond
 
-// AdmitLook reports whether a request of the class that waits for room may look for it
+// AllowCapacityCheck reports whether a request of the class that waits for room may look for it
 // now.
-func (t *Table) AdmitLook(className string, now time.Time) bool {
+func (t *Table) AllowCapacityCheck(className string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return once(&t.class(className).lookedAt, lookEvery, now)
--- a/pkg/replica/cold.go
+++ b/pkg/replica/cold.go
@@ -12,30 +12,30 @@
 	// PerSecond is how many requests it may get in any second from all instances together;
 	// zero: there is no bound.
 	PerSecond float64
-	// For is how long a leaf of the service is cold after its start.
-	For time.Duration
+	// Duration is how long a leaf of the service is cold after its start.
+	Duration time.Duration
 }
 
-// Warmers are the instances that may send requests to cold leafs, as one of them sees it. The
+// WarmUpAssignment are the instances that may send requests to cold leafs, as one of them sees it. The
 // zero value lets this instance send none.
 //
 // Nobody counts the requests of all instances. So those that run the queries of a leaf's own
 // availability zone have equal parts of what it may get, and the others send it nothing; a zone
 // that is cut off from the others still agrees with itself.
-type Warmers struct {
+type WarmUpAssignment struct {
 	// Self is this instance's name, and Zone its availability zone.
 	Self, Zone string
-	// Own warm the leafs of Zone, Rest those of zones that have no instance in use.
-	Own, Rest Warming
-	// Present are the zones that have instances in use.
-	Present map[string]bool
-	// Alone is how many instances there are that know nothing of each other, this one among them;
+	// OwnZone warm the leafs of Zone, Rest those of zones that have no instance in use.
+	OwnZone, ZonesWithoutInstances WarmUpGroup
+	// PresentZones are the zones that have instances in use.
+	PresentZones map[string]bool
+	// IsolatedInstances is how many instances there are that know nothing of each other, this one among them;
 	// zero: they do.
-	Alone int
+	IsolatedInstances int
 }
 
-// Warming names the instances that warm the same leafs.
-type Warming struct {
+// WarmUpGroup names the instances that warm the same leafs.
+type WarmUpGroup struct {
 	// Queries are those that run queries, Single those that send requests to one leaf.
 	Queries, Single []string
 }
@@ -51,15 +51,15 @@
 	coldPartsLeast = 3
 )
 
-// Part is how many requests this instance may send to a cold leaf in a second, of limit that all
+// Share is how many requests this instance may send to a cold leaf in a second, of limit that all
 // may send.
 //
 // The instances may disagree for a while on who warms a leaf. One more than those drawn keeps the
 // sum within the limit. Where there are more instances than requests, some are drawn for each
 // leaf to send one.
-func (w *Warmers) Part(leafID, zone string, shard bool, limit float64) int {
-	if w.Alone > 0 {
-		return int(coldPart * limit / float64(w.Alone))
+func (w *WarmUpAssignment) Share(leafID, zone string, shard bool, limit float64) int {
+	if w.IsolatedInstances > 0 {
+		return int(coldPart * limit / float64(w.IsolatedInstances))
 	}
 	names := w.drawn(zone, shard)
 	n := len(names)
@@ -85,13 +85,13 @@
 }
 
 // drawn are the instances that warm the leafs of a zone.
-func (w *Warmers) drawn(zone string, shard bool) []string {
-	group := Warming{}
+func (w *WarmUpAssignment) drawn(zone string, shard bool) []string {
+	group := WarmUpGroup{}
 	switch {
 	case zone == w.Zone:
-		group = w.Own
-	case !w.Present[zone]:
-		group = w.Rest
+		group = w.OwnZone
+	case !w.PresentZones[zone]:
+		group = w.ZonesWithoutInstances
 	}
 	if shard {
 		return group.Queries
@@ -99,8 +99,8 @@
 	return group.Single
 }
 
-// SetWarmers takes over who may send requests to cold leafs.
-func (t *Table) SetWarmers(w Warmers) {
+// SetWarmUpAssignment takes over who may send requests to cold leafs.
+func (t *Table) SetWarmUpAssignment(w WarmUpAssignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.warmers = w
@@ -135,7 +135,7 @@
 	if service == "" {
 		return false
 	}
-	return r.sentSince(now.Add(-coldWindow)) >= t.warmers.Part(r.ID, r.Zone, t.shards[service], limit.PerSecond)
+	return r.sentSince(now.Add(-coldWindow)) >= t.warmers.Share(r.ID, r.Zone, t.shards[service], limit.PerSecond)
 }
 
 // noteCold counts a request to a leaf that has a bound while it is cold. Those sent before it
@@ -181,14 +181,14 @@
 		if r.Zone != zone || service == "" {
 			continue
 		}
-		r.assumedCold = now.Add(limit.For)
+		r.assumedCold = now.Add(limit.Duration)
 		r.coldAtLeastUntil(r.assumedCold)
 	}
 }
 
-// Guarded reports whether a leaf has a bound and is cold: then only those that it is drawn for may
+// IsColdLimited reports whether a leaf has a bound and is cold: then only those that it is drawn for may
 // send it requests.
-func (t *Table) Guarded(id string, now time.Time) bool {
+func (t *Table) IsColdLimited(id string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.leafs[id]
--- a/pkg/replica/cold_test.go
+++ b/pkg/replica/cold_test.go
@@ -10,10 +10,10 @@
 
 // coldTable is a table of one service whose cold leafs may get limit requests a second, with the
 // given leafs: the zone of each.
-func coldTable(w Warmers, limit float64, zones ...string) *Table {
-	t := NewTable(Options{Zone: "z1", ConnsPerLeaf: 100, Instances: 1, Ties: func() float64 { return 0 }})
-	t.SetColdLimits(map[string]ColdLimit{"s": {PerSecond: limit, For: 3 * time.Second}})
-	t.SetWarmers(w)
+func coldTable(w WarmUpAssignment, limit float64, zones ...string) *Table {
+	t := NewTable(Options{Zone: "z1", ConnsPerLeaf: 100, Instances: 1, TieBreaker: func() float64 { return 0 }})
+	t.SetColdLimits(map[string]ColdLimit{"s": {PerSecond: limit, Duration: 3 * time.Second}})
+	t.SetWarmUpAssignment(w)
 	for i, zone := range zones {
 		t.Upsert(Leaf{ID: fmt.Sprint("leaf", i), Services: []string{"s"}, Zone: zone, Slots: 100, Sequence: 1}, t0)
 	}
@@ -21,15 +21,15 @@
 }
 
 // only lets this instance and some others warm the leafs of its zone.
-func only(others ...string) Warmers {
+func only(others ...string) WarmUpAssignment {
 	all := append([]string{"me"}, others...)
-	return Warmers{Self: "me", Zone: "z1", Own: Warming{Queries: all, Single: all}, Present: map[string]bool{"z1": true}}
+	return WarmUpAssignment{Self: "me", Zone: "z1", OwnZone: WarmUpGroup{Queries: all, Single: all}, PresentZones: map[string]bool{"z1": true}}
 }
 
 // turnCold lets a leaf say that it is cold for a time.
 func turnCold(t *Table, i int, cold time.Duration, now time.Time) {
 	leaf, _ := t.Leaf(fmt.Sprint("leaf", i))
-	leaf.Cold = cold
+	leaf.ColdRemaining = cold
 	leaf.Sequence++
 	t.Upsert(leaf, now)
 }
@@ -77,7 +77,7 @@
 	table := coldTable(only(), 14, "z1")
 	leaf, _ := table.Leaf("leaf0")
 	report := func(cold time.Duration, at time.Duration) Change {
-		leaf.Cold = cold
+		leaf.ColdRemaining = cold
 		leaf.Sequence++
 		return table.Upsert(leaf, t0.Add(at))
 	}
@@ -103,10 +103,10 @@
 // TestOthersSendNothingToAColdLeaf guards against instances that are not drawn and send to a cold
 // leaf, or wait for it where another one is warm.
 func TestOthersSendNothingToAColdLeaf(t *testing.T) {
-	strangers := map[string]Warmers{
-		"not drawn":    {Self: "me", Zone: "z1", Own: Warming{Queries: []string{"other"}, Single: []string{"other"}}},
+	strangers := map[string]WarmUpAssignment{
+		"not drawn":    {Self: "me", Zone: "z1", OwnZone: WarmUpGroup{Queries: []string{"other"}, Single: []string{"other"}}},
 		"not settled":  {},
-		"another zone": {Self: "me", Zone: "z2", Own: Warming{Queries: []string{"me"}, Single: []string{"me"}}, Present: map[string]bool{"z1": true}},
+		"another zone": {Self: "me", Zone: "z2", OwnZone: WarmUpGroup{Queries: []string{"me"}, Single: []string{"me"}}, PresentZones: map[string]bool{"z1": true}},
 	}
 	for name, w := range strangers {
 		t.Run(name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 // TestZoneWithoutInstancesIsWarmedByOthers guards against cold leafs that nobody may ask.
 func TestZoneWithoutInstancesIsWarmedByOthers(t *testing.T) {
 	w := only()
-	w.Rest = w.Own
+	w.ZonesWithoutInstances = w.OwnZone
 	table := coldTable(w, 14, "z9")
 	turnCold(table, 0, 3*time.Second, t0)
 	require.NotEmpty(t, ask(table, t0))
@@ -132,7 +132,7 @@
 // TestUnboundedColdLeafsAreNotHeldBack guards against deployments that publish no bound and get
 // less from leafs that have just started.
 func TestUnboundedColdLeafsAreNotHeldBack(t *testing.T) {
-	table := coldTable(Warmers{}, 0, "z1")
+	table := coldTable(WarmUpAssignment{}, 0, "z1")
 	turnCold(table, 0, 3*time.Second, t0)
 	require.Equal(t, []int{100}, askFor(table, t0, time.Second))
 }
@@ -163,8 +163,8 @@
 		}
 		sum := 0
 		for _, self := range names {
-			w := Warmers{Self: self, Zone: "z1", Own: Warming{Queries: names}}
-			sum += w.Part("leaf", "z1", true, 14)
+			w := WarmUpAssignment{Self: self, Zone: "z1", OwnZone: WarmUpGroup{Queries: names}}
+			sum += w.Share("leaf", "z1", true, 14)
 		}
 		require.LessOrEqual(t, sum, 9, n)
 		require.GreaterOrEqual(t, sum, 4, n)
@@ -174,6 +174,6 @@
 // TestColdLeafsAreWarmedAlone guards against instances that do not know each other and together
 // send more than a cold leaf bears.
 func TestColdLeafsAreWarmedAlone(t *testing.T) {
-	w := Warmers{Alone: 4}
-	require.Equal(t, 2, w.Part("leaf", "z1", true, 14))
+	w := WarmUpAssignment{IsolatedInstances: 4}
+	require.Equal(t, 2, w.Share("leaf", "z1", true, 14))
 }
--- a/pkg/replica/evacuation.go
+++ b/pkg/replica/evacuation.go
@@ -42,8 +42,8 @@
 	return n
 }
 
-// Evacuated lists the evacuated zones by name.
-func (t *Table) Evacuated() []string {
+// EvacuatedZones lists the evacuated zones by name.
+func (t *Table) EvacuatedZones() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Sorted(maps.Keys(t.evacuated))
--- a/pkg/replica/holding.go
+++ b/pkg/replica/holding.go
@@ -29,7 +29,7 @@
 	return !h.inVainAt.IsZero() && h.inVainAt.After(h.releasedAt) && now.Sub(h.inVainAt) <= holdMemory
 }
 
-// Hold reports whether a request of the class may wait for room.
+// AllowWait reports whether a request of the class may wait for room.
 //
 // In an overload of some tenths of a second room comes back soon, and a request that
 // waits for it is served. In a long one it does not come. Held all the same, requests
@@ -37,24 +37,24 @@
 // time and then refused. So once one has waited
 // in vain the others are refused at once, and one each two seconds finds out whether
 // there is room again.
-func (t *Table) Hold(className string, now time.Time) bool {
+func (t *Table) AllowWait(className string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &t.class(className).holding
 	return !h.hopeless(now) || once(&h.triedAt, holdTrialEvery, now)
 }
 
-// HoldSign notes that a new request of the class would be admitted now: the overload
+// RecordCapacitySign notes that a new request of the class would be admitted now: the overload
 // ends, and those that wait have hope.
-func (t *Table) HoldSign(className string, now time.Time) {
+func (t *Table) RecordCapacitySign(className string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.class(className).holding.signAt = now
 }
 
-// HoldInVain reports whether a request of the class that has waited since a time is to be
+// ShouldAbandonWait reports whether a request of the class that has waited since a time is to be
 // given up.
-func (t *Table) HoldInVain(className string, since, now time.Time) bool {
+func (t *Table) ShouldAbandonWait(className string, since, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &t.class(className).holding
@@ -64,8 +64,8 @@
 	return now.Sub(since) >= holdTrial || (h.hopeless(now) && since.Before(h.inVainAt))
 }
 
-// HoldEnded takes over whether a request that waited for room was started.
-func (t *Table) HoldEnded(className string, released bool, now time.Time) {
+// RecordWaitEnd takes over whether a request that waited for room was started.
+func (t *Table) RecordWaitEnd(className string, released bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &t.class(className).holding
--- a/pkg/replica/homes.go
+++ b/pkg/replica/homes.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// SetHomes takes over to which regions the requests of each class are confined; a class that is not
+// SetAllowedRegions takes over to which regions the requests of each class are confined; a class that is not
 // named may go anywhere.
-func (t *Table) SetHomes(homes map[string][]string) {
+func (t *Table) SetAllowedRegions(homes map[string][]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.homes = homes
 }
 
-// AtHome reports whether requests of a class may be handed to others in this instance's zone.
-func (t *Table) AtHome(className string) bool {
+// OwnZoneAllowed reports whether requests of a class may be handed to others in this instance's zone.
+func (t *Table) OwnZoneAllowed(className string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.atHome(className, t.opts.Zone)
--- a/pkg/replica/listed.go
+++ b/pkg/replica/listed.go
@@ -13,14 +13,14 @@
 	Unchanged Change = iota
 	// Joined: the leaf is new, or back after it had lapsed.
 	Joined
-	// Drains: the leaf takes no new work from now on.
-	Drains
+	// DrainStarted: the leaf takes no new work from now on.
+	DrainStarted
 	// Moved: address, zone or service differ.
 	Moved
 	// TurnedCold: the leaf says that it is cold, which it was not.
 	TurnedCold
-	// Reborn: the leaf has started again; what was in flight there is lost.
-	Reborn
+	// Restarted: the leaf has started again; what was in flight there is lost.
+	Restarted
 )
 
 // String names the change in logs.
@@ -52,22 +52,22 @@
 		return t.join(leaf, now)
 	}
 	switch {
-	case leaf.Born.After(r.Born):
+	case leaf.StartedAt.After(r.StartedAt):
 		t.replace(r, leaf, now)
-		return Reborn
-	case leaf.Born.Before(r.Born), leaf.Sequence < r.Sequence:
+		return Restarted
+	case leaf.StartedAt.Before(r.StartedAt), leaf.Sequence < r.Sequence:
 		return Unchanged
 	}
 	r.lapsed = false
 	wasCold := now.Before(r.coldUntil)
-	r.learnCold(leaf.Cold, now)
+	r.learnCold(leaf.ColdRemaining, now)
 	change := Unchanged
 	switch {
 	case leaf.Draining && !r.Draining:
-		change = Drains
+		change = DrainStarted
 	case leaf.Addr != r.Addr || leaf.Zone != r.Zone || !slices.Equal(leaf.Services, r.Services):
 		change = Moved
-	case leaf.Cold > 0 && !wasCold:
+	case leaf.ColdRemaining > 0 && !wasCold:
 		change = TurnedCold
 	}
 	leaf.Draining = leaf.Draining || r.Draining
@@ -85,9 +85,9 @@
 func (t *Table) join(leaf Leaf, now time.Time) Change {
 	was, left := t.sequences[leaf.ID]
 	switch {
-	case left && leaf.Born.Before(was.born):
+	case left && leaf.StartedAt.Before(was.born):
 		return Unchanged
-	case left && leaf.Born.Equal(was.born):
+	case left && leaf.StartedAt.Equal(was.born):
 		if leaf.Sequence <= was.sequence && was.draining {
 			return Unchanged
 		}
@@ -96,7 +96,7 @@
 	delete(t.sequences, leaf.ID)
 	t.add(leaf, now)
 	if leaf.Draining {
-		return Drains
+		return DrainStarted
 	}
 	return Joined
 }
@@ -197,7 +197,7 @@
 func (t *Table) drop(r *row, now time.Time) {
 	t.detach(r)
 	delete(t.leafs, r.ID)
-	t.sequences[r.ID] = departed{born: r.Born, sequence: r.Sequence, draining: r.Draining, at: now}
+	t.sequences[r.ID] = departed{born: r.StartedAt, sequence: r.Sequence, draining: r.Draining, at: now}
 }
 
 // Sweep is the membership system: run each tick, it drops the lapsed leafs
--- a/pkg/replica/listed_test.go
+++ b/pkg/replica/listed_test.go
@@ -9,7 +9,7 @@
 
 // born sets when a leaf's incarnation started.
 func born(l Leaf, atMs int, sequence int64) Leaf {
-	l.Born = at(atMs)
+	l.StartedAt = at(atMs)
 	l.Sequence = sequence
 	return l
 }
@@ -22,9 +22,9 @@
 	table := testTable()
 	old := born(leaf("a", "z1"), 1000, 40)
 	old.Draining = true
-	require.Equal(t, Drains, table.Upsert(old, at(1000)))
+	require.Equal(t, DrainStarted, table.Upsert(old, at(1000)))
 	reborn := born(leaf("a", "z1"), 5000, 1)
-	require.Equal(t, Reborn, table.Upsert(reborn, at(5100)))
+	require.Equal(t, Restarted, table.Upsert(reborn, at(5100)))
 	require.Equal(t, "a", place(t, table, at(5100)).Leaf.ID)
 	require.Equal(t, Unchanged, table.Upsert(reborn, at(5200)), "told once")
 }
@@ -54,13 +54,13 @@
 	run(table, Placement{Leaf: leaf("a", "z1")}, at(1000), time.Second)
 	inFlight := table.Begin(Placement{Leaf: table.leafs["a"].Leaf}, "c", at(2000))
 	crowded := table.Begin(Placement{Leaf: table.leafs["a"].Leaf}, "c", at(2000))
-	table.End(crowded, Crowded, at(2001))
+	table.End(crowded, ConnLimitReached, at(2001))
 	require.Equal(t, "b", place(t, table, at(2300)).Leaf.ID)
 
-	require.Equal(t, Reborn, table.Upsert(born(leaf("a", "z1"), 2200, 1), at(2300)))
+	require.Equal(t, Restarted, table.Upsert(born(leaf("a", "z1"), 2200, 1), at(2300)))
 	require.Equal(t, "a", place(t, table, at(2300)).Leaf.ID)
 	require.Zero(t, table.leafs["a"].silentFor(at(2300)))
-	require.Equal(t, Same, table.End(inFlight, TimedOut, at(2400)))
+	require.Equal(t, HealthUnchanged, table.End(inFlight, TimedOut, at(2400)))
 	require.InDelta(t, 1, table.leafs["a"].slownessNow(at(2400)), 0.01, "a call to the earlier incarnation says nothing of this one")
 }
 
--- a/pkg/replica/load.go
+++ b/pkg/replica/load.go
@@ -9,9 +9,9 @@
 type Load struct {
 	// Running and Waiting are its requests, of all callers, and Slots how many run at once.
 	Running, Waiting, Slots int
-	// Pace is how long work takes on its machine now, in multiples of the usual time; zero: not
+	// Slowdown is how long work takes on its machine now, in multiples of the usual time; zero: not
 	// said.
-	Pace float64
+	Slowdown float64
 }
 
 // Bounds of what a leaf may say.
@@ -20,8 +20,8 @@
 	paceMost = 1000
 )
 
-// Check reports what keeps a load from being one.
-func (l Load) Check() error {
+// Validate reports what keeps a load from being one.
+func (l Load) Validate() error {
 	switch {
 	case l.Running < 0 || l.Running > loadMost:
 		return fmt.Errorf("%d requests running", l.Running)
@@ -29,19 +29,19 @@
 		return fmt.Errorf("%d requests waiting", l.Waiting)
 	case l.Slots < 1 || l.Slots > loadMost:
 		return fmt.Errorf("%d slots", l.Slots)
-	case !(l.Pace >= 0 && l.Pace <= paceMost):
-		return fmt.Errorf("pace of %g times the usual", l.Pace)
+	case !(l.Slowdown >= 0 && l.Slowdown <= paceMost):
+		return fmt.Errorf("pace of %g times the usual", l.Slowdown)
 	}
 	return nil
 }
 
 // String is the load in logs.
 func (l Load) String() string {
-	return fmt.Sprintf("%d running, %d waiting, %d slots, pace %.2f", l.Running, l.Waiting, l.Slots, l.Pace)
+	return fmt.Sprintf("%d running, %d waiting, %d slots, pace %.2f", l.Running, l.Waiting, l.Slots, l.Slowdown)
 }
 
-// TakeLoad takes over what the leaf of a call has said of itself.
-func (t *Table) TakeLoad(c *Call, load Load, now time.Time) {
+// RecordLoad takes over what the leaf of a call has said of itself.
+func (t *Table) RecordLoad(c *Call, load Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.leafs[c.Leaf.ID]; r != nil && r == c.row {
--- a/pkg/replica/placement.go
+++ b/pkg/replica/placement.go
@@ -52,10 +52,10 @@
 // Placement is a leaf chosen for a request.
 type Placement struct {
 	Leaf Leaf
-	// Expected is how long a reply is expected to take.
-	Expected time.Duration
-	// Refusals is the share of requests that the leaf refuses or breaks.
-	Refusals float64
+	// ExpectedLatency is how long a reply is expected to take.
+	ExpectedLatency time.Duration
+	// RefusalRate is the share of requests that the leaf refuses or breaks.
+	RefusalRate float64
 	// Suspect: the leaf has been silent for longer than usual.
 	Suspect bool
 }
@@ -92,7 +92,7 @@
 			continue
 		}
 		p, cost := t.price(r, className, now)
-		if r.givenUp && !s.budget.Has(now) {
+		if r.givenUp && !s.budget.Available(now) {
 			cost *= givenUpFactor
 		}
 		if verdict != Placed || cost < bestCost {
@@ -128,16 +128,16 @@
 func (t *Table) price(r *row, className string, now time.Time) (Placement, time.Duration) {
 	base := float64(t.typical(className)) * r.slownessNow(now)
 	expected := time.Duration(base * float64(1+len(r.starts)))
-	p := Placement{Leaf: r.Leaf, Expected: expected}
+	p := Placement{Leaf: r.Leaf, ExpectedLatency: expected}
 	if r.silentTooLong(base, now) {
 		p.Suspect = true
-		p.Expected += suspectCost
+		p.ExpectedLatency += suspectCost
 	}
-	p.Refusals = r.refusalsNow(now)
+	p.RefusalRate = r.refusalsNow(now)
 	if t.opts.NearestFirst {
 		return p, t.distance(r)
 	}
-	cost := float64(p.Expected) / (1 - min(p.Refusals, refusalsCap))
+	cost := float64(p.ExpectedLatency) / (1 - min(p.RefusalRate, refusalsCap))
 	if r.Zone != t.opts.Zone {
 		cost = cost*max(t.opts.OtherZoneFactor, 1) + float64(t.opts.OtherZonePenalty)
 	}
@@ -162,8 +162,8 @@
 	return r.silentFor(now) > silentFloor+time.Duration(silentFactor*base)
 }
 
-// Suspect reports whether the leaf of a call is silent for longer than usual.
-func (t *Table) Suspect(c *Call, now time.Time) bool {
+// IsSuspect reports whether the leaf of a call is silent for longer than usual.
+func (t *Table) IsSuspect(c *Call, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.leafs[c.Leaf.ID]
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -17,9 +17,9 @@
 	// ID names the leaf. One that starts again may keep it: Born tells the
 	// incarnations apart.
 	ID string
-	// Born is when this incarnation started, by the leaf's own clock; zero: not
+	// StartedAt is when this incarnation started, by the leaf's own clock; zero: not
 	// published.
-	Born time.Time
+	StartedAt time.Time
 	// Services are what the leaf serves: one service on the users' platform,
 	// each shard that a backend server holds in an installation of the
 	// project's own.
@@ -32,8 +32,8 @@
 	MaxConns int
 	// Draining leafs finish what they have and take nothing new.
 	Draining bool
-	// Cold is how much longer the leaf is slow after its start.
-	Cold time.Duration
+	// ColdRemaining is how much longer the leaf is slow after its start.
+	ColdRemaining time.Duration
 	// Sequence grows with every report of one incarnation.
 	Sequence int64
 }
@@ -64,17 +64,17 @@
 	NearestFirst bool
 	// Budget bounds second requests per service.
 	Budget BudgetOptions
-	// Ties draws numbers from 0 to 1 that decide between equal leafs; nil: at
+	// TieBreaker draws numbers from 0 to 1 that decide between equal leafs; nil: at
 	// random. Replays set it, so that they repeat exactly.
-	Ties func() float64
+	TieBreaker func() float64
 }
 
 // tie draws the next number.
 func (o *Options) tie() float64 {
-	if o.Ties == nil {
+	if o.TieBreaker == nil {
 		return rand.Float64()
 	}
-	return o.Ties()
+	return o.TieBreaker()
 }
 
 // Table holds one row per leaf and one per service. It is safe for concurrent
@@ -97,13 +97,13 @@
 	maxConns   map[string]int
 	// bursts are this instance's part of the second requests beyond the ratio; zero: as
 	// the options say. shards are the services that are shards of queries only.
-	bursts Bursts
+	bursts BurstLimits
 	shards map[string]bool
 	// homes are the regions whose leafs the requests of a class may go to; none: all.
 	homes map[string][]string
 	// coldLimits are what cold leafs of each service may get, and warmers say from whom.
 	coldLimits map[string]ColdLimit
-	warmers    Warmers
+	warmers    WarmUpAssignment
 }
 
 // departed is what is kept of a leaf that left the list.
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -41,7 +41,7 @@
 			run(table, Placement{Leaf: table.leafs[id].Leaf}, t0, 20*time.Millisecond)
 		}
 	}
-	require.InDelta(t, 20, table.Typical("c").Milliseconds(), 1)
+	require.InDelta(t, 20, table.TypicalLatency("c").Milliseconds(), 1)
 }
 
 func place(t *testing.T, table *Table, now time.Time, tried ...string) Placement {
@@ -160,8 +160,8 @@
 	table := testTable(leaf("a", "z1"), leaf("b", "z2"))
 	teach(t, table, "a", "b")
 	waiting := table.Begin(Placement{Leaf: leaf("a", "z1")}, "c", at(100))
-	require.False(t, table.Suspect(waiting, at(130)))
-	require.True(t, table.Suspect(waiting, at(180)), "after 15 ms and 2.5 times its 20 ms")
+	require.False(t, table.IsSuspect(waiting, at(130)))
+	require.True(t, table.IsSuspect(waiting, at(180)), "after 15 ms and 2.5 times its 20 ms")
 	for now := 180; now < 350; now += 10 {
 		require.Equal(t, "b", place(t, table, at(now)).Leaf.ID)
 	}
@@ -237,14 +237,14 @@
 // A leaf that is down is probed by one request at a time.
 func TestDownLeafIsProbedByOneRequest(t *testing.T) {
 	table := testTable(leaf("a", "z1"))
-	require.Equal(t, Same, table.End(table.Begin(Placement{Leaf: leaf("a", "z1")}, "c", t0), NotSent, t0))
-	require.Equal(t, WentDown, table.End(table.Begin(Placement{Leaf: leaf("a", "z1")}, "c", t0), NotSent, t0))
+	require.Equal(t, HealthUnchanged, table.End(table.Begin(Placement{Leaf: leaf("a", "z1")}, "c", t0), NotSent, t0))
+	require.Equal(t, MarkedDown, table.End(table.Begin(Placement{Leaf: leaf("a", "z1")}, "c", t0), NotSent, t0))
 	_, v := table.Place("s", "c", nil, at(100))
 	require.Equal(t, AllDown, v)
 	probe := table.Begin(place(t, table, at(250)), "c", at(250))
 	_, v = table.Place("s", "c", nil, at(251))
 	require.Equal(t, AllDown, v)
-	require.Equal(t, CameBack, table.End(probe, Answered, at(260)))
+	require.Equal(t, Recovered, table.End(probe, Answered, at(260)))
 	require.Equal(t, "a", place(t, table, at(261)).Leaf.ID)
 }
 
@@ -266,7 +266,7 @@
 	require.Empty(t, table.SuspectZones(at(200)))
 	require.Equal(t, []string{"z2"}, table.SuspectZones(at(260)))
 	require.Empty(t, table.SuspectZones(at(270)), "told once")
-	require.True(t, table.Cut())
+	require.True(t, table.HasSuspectedZone())
 	for range 20 {
 		require.Equal(t, "z1", place(t, table, at(270)).Leaf.Zone)
 	}
@@ -274,8 +274,8 @@
 	probes := table.ZoneProbes(at(600))
 	require.Len(t, probes, 1)
 	require.Equal(t, "z2", probes[0].Zone)
-	require.True(t, table.ZoneAnswered("z2", at(610)))
-	require.False(t, table.Cut())
+	require.True(t, table.RecordZoneReply("z2", at(610)))
+	require.False(t, table.HasSuspectedZone())
 }
 
 // Symptom: a zone that is cut off with refused connections is noticed leaf by
@@ -320,7 +320,7 @@
 func TestRoomAtALeafIsLearned(t *testing.T) {
 	table := testTable(leaf("a", "z1"))
 	held := table.Begin(place(t, table, t0), "c", t0)
-	table.End(table.Begin(place(t, table, t0), "c", t0), Crowded, at(1))
+	table.End(table.Begin(place(t, table, t0), "c", t0), ConnLimitReached, at(1))
 	_, v := table.Place("s", "c", nil, at(2))
 	require.Equal(t, AllBusy, v, "what is in flight is all there is room for")
 	table.End(held, Answered, at(20))
@@ -335,7 +335,7 @@
 func TestLeafWithoutRoomIsLeftAlone(t *testing.T) {
 	table := testTable(leaf("a", "z1"))
 	for range downAfter {
-		table.End(table.Begin(place(t, table, t0), "c", t0), Crowded, t0)
+		table.End(table.Begin(place(t, table, t0), "c", t0), ConnLimitReached, t0)
 	}
 	_, v := table.Place("s", "c", nil, at(1))
 	require.Equal(t, AllDown, v)
@@ -364,7 +364,7 @@
 	require.Equal(t, Unchanged, table.Upsert(older, t0))
 	drains := l
 	drains.Sequence, drains.Draining = 6, true
-	require.Equal(t, Drains, table.Upsert(drains, t0))
+	require.Equal(t, DrainStarted, table.Upsert(drains, t0))
 	l.Sequence = 7
 	table.Upsert(l, t0)
 	_, v := table.Place("s", "c", nil, t0)
@@ -410,9 +410,9 @@
 			continue
 		}
 		b := budgets[rng.IntN(1+(ms/5000)%instances)]
-		b.Request(now)
+		b.CountRequest(now)
 		first = append(first, now.Sub(t0))
-		for b.Take(now) {
+		for b.TryTake(now) {
 			second = append(second, now.Sub(t0))
 		}
 	}
--- a/pkg/replica/row.go
+++ b/pkg/replica/row.go
@@ -94,10 +94,10 @@
 
 func newRow(leaf Leaf, now time.Time) *row {
 	r := &row{Leaf: leaf, slowness: 1, slownessAt: now, refusalsAt: now}
-	if leaf.Cold > 0 {
+	if leaf.ColdRemaining > 0 {
 		r.slowness = coldSlowness
 	}
-	r.learnCold(leaf.Cold, now)
+	r.learnCold(leaf.ColdRemaining, now)
 	return r
 }
 
--- a/pkg/replica/zones.go
+++ b/pkg/replica/zones.go
@@ -111,9 +111,9 @@
 	return Leaf{}, false
 }
 
-// ZoneAnswered takes over that a probe of a zone was answered. It reports
+// RecordZoneReply takes over that a probe of a zone was answered. It reports
 // whether the zone was suspected.
-func (t *Table) ZoneAnswered(zone string, now time.Time) bool {
+func (t *Table) RecordZoneReply(zone string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	z := t.zones[zone]
@@ -122,8 +122,8 @@
 	return was
 }
 
-// Cut reports whether some zone is suspected.
-func (t *Table) Cut() bool {
+// HasSuspectedZone reports whether some zone is suspected.
+func (t *Table) HasSuspectedZone() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, z := range t.zones {
@@ -134,9 +134,9 @@
 	return false
 }
 
-// Servable is how many of the services have a leaf that may get requests, and reachable how many
+// CountServable is how many of the services have a leaf that may get requests, and reachable how many
 // have one outside the suspected zones.
-func (t *Table) Servable(services []string) (servable, reachable int) {
+func (t *Table) CountServable(services []string) (servable, reachable int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range services {
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -41,9 +41,9 @@
 	Shards []string
 	// TopK is how many records a gathered answer holds at most.
 	TopK int
-	// MinShare is the least share (0 to 1) of the shards that an answer
+	// MinShardShare is the least share (0 to 1) of the shards that an answer
 	// must cover to be a success.
-	MinShare float64
+	MinShardShare float64
 	// Timeout is the longest that the operator lets a request wait; zero:
 	// no bound beyond the caller's deadline.
 	Timeout time.Duration
@@ -55,8 +55,8 @@
 	MaxAttempts int
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Homes are the regions whose leafs may be asked; none: all.
-	Homes []string
+	// AllowedRegions are the regions whose leafs may be asked; none: all.
+	AllowedRegions []string
 }
 
 // Target is one service of a route and its share of the requests.
@@ -71,10 +71,10 @@
 	// MaxConns is how many connections each of its leafs accepts from all
 	// callers together; zero: not published.
 	MaxConns int
-	// ColdFor is how long a leaf is cold after its start, and ColdPerSecond how many requests a
+	// ColdDuration is how long a leaf is cold after its start, and ColdPerSecond how many requests a
 	// second it bears meanwhile; zero: that is not bounded.
-	ColdFor       time.Duration
-	ColdPerSecond float64
+	ColdDuration          time.Duration
+	ColdRequestsPerSecond float64
 	// HealthPath answers whether a leaf is well.
 	HealthPath string
 }
