--- a/pkg/configwatch/watch.go
+++ b/pkg/configwatch/watch.go
@@ -23,9 +23,9 @@
 // pace is how the service is followed. Calls are not billed one by one, but each is work for it. A
 // change is known within the 14 s that are allowed at any phase of a call that is never answered.
 var pace = longpoll.Options{
-	Wait: 5 * time.Second, Look: time.Millisecond,
-	TimeoutFirst: time.Second, TimeoutMost: time.Second,
-	RetryFirst: 100 * time.Millisecond, RetryMost: 2 * time.Second,
+	Wait: 5 * time.Second, ProbeWait: time.Millisecond,
+	Timeout: time.Second, RetryTimeout: time.Second,
+	MinBackoff: 100 * time.Millisecond, MaxBackoff: 2 * time.Second,
 }
 
 // follow calls until ctx ends: call makes one, and reports whether it brought changes.
@@ -33,16 +33,16 @@
 	pacer := longpoll.New(pace, rand.Float64)
 	for ctx.Err() == nil {
 		began := time.Now()
-		changes, err := call(pacer.Next(0, longpoll.Group{Place: 1}))
+		changes, err := call(pacer.NextCall(0, longpoll.PeerGroup{RelativeRank: 1}))
 		if err == nil {
-			pacer.Answered(changes, false)
+			pacer.RecordAnswer(changes, false)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		pause := pacer.Failed(time.Since(began))
-		log.WithFields(logrus.Fields{"error": err.Error(), "attempt": pacer.Attempts(), "retry_in_ms": pause.Milliseconds()}).Warn("watch failed")
+		pause := pacer.RecordFailure(time.Since(began))
+		log.WithFields(logrus.Fields{"error": err.Error(), "attempt": pacer.ConsecutiveFailures(), "retry_in_ms": pause.Milliseconds()}).Warn("watch failed")
 		service.Sleep(ctx, pause)
 	}
 }
@@ -141,7 +141,7 @@
 // change, and puts what it has in force if that is newer. It returns an
 // error when the service could not be asked.
 func (w *Watcher) Refresh(ctx context.Context) error {
-	cfg, err := w.watch(ctx, w.Version(), longpoll.Call{Wait: pace.Look, Timeout: pace.TimeoutMost})
+	cfg, err := w.watch(ctx, w.Version(), longpoll.Call{Wait: pace.ProbeWait, Timeout: pace.RetryTimeout})
 	if err == nil && cfg != nil {
 		w.Offer(cfg)
 	}
--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -61,7 +61,7 @@
 
 	pacer *longpoll.Pacer
 	// group is what is known of the other instances that read the store.
-	group atomic.Pointer[longpoll.Group]
+	group atomic.Pointer[longpoll.PeerGroup]
 	// lastGood is the last successful call, failingSince the first failed
 	// one after it.
 	lastGood     time.Time
@@ -109,7 +109,7 @@
 	}
 	f.reading.Store(true)
 	f.position.Store(&feed.Position{})
-	f.group.Store(&longpoll.Group{Place: 1})
+	f.group.Store(&longpoll.PeerGroup{RelativeRank: 1})
 	return f
 }
 
@@ -148,9 +148,9 @@
 		if err := f.list(ctx); err != nil {
 			return f.failed(ctx, call{kind: "list", began: began}, err)
 		}
-		return f.pacer.Answered(true, false)
+		return f.pacer.RecordAnswer(true, false)
 	}
-	next := f.pacer.Next(f.Age(began), *f.group.Load())
+	next := f.pacer.NextCall(f.Age(began), *f.group.Load())
 	asked := f.Position()
 	page, err := f.watch(ctx, asked, next)
 	c := call{kind: "watch", began: began, wait: next.Wait}
@@ -177,7 +177,7 @@
 		return 0
 	}
 	f.answered()
-	return f.pacer.Answered(len(page.Events) > 0, page.Full)
+	return f.pacer.RecordAnswer(len(page.Events) > 0, page.Full)
 }
 
 // watch makes one call. It ends early where what is known becomes too old meanwhile, or of an era that is over.
@@ -189,8 +189,8 @@
 	if f.Position().Era != after.Era {
 		giveUp(errEraEnded)
 	}
-	if next.Stale > 0 {
-		go f.untilStale(ctx, next.Stale, giveUp)
+	if next.MaxAge > 0 {
+		go f.untilStale(ctx, next.MaxAge, giveUp)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, next.Wait+next.Timeout)
 	defer cancel()
@@ -223,10 +223,10 @@
 func (f *Follower) gaveUp(c call) {
 	now := time.Now()
 	f.calls.Add(1)
-	f.pacer.GaveUp()
+	f.pacer.RecordAbandoned()
 	f.log.Decision("store_call_given_up", oplog.Fields{
 		"wait_ms": c.wait.Milliseconds(), "took_ms": now.Sub(c.began).Milliseconds(),
-		"age_ms": f.Age(now).Milliseconds(), "heard": f.group.Load().Heard,
+		"age_ms": f.Age(now).Milliseconds(), "heard": f.group.Load().Reporting,
 	})
 }
 
@@ -295,7 +295,7 @@
 	if !f.failingSince.IsZero() {
 		away := now.Sub(f.failingSince)
 		f.failingSince = time.Time{}
-		f.log.State("store_regained", oplog.Fields{"away_ms": away.Milliseconds(), "attempts": f.pacer.Attempts(), "revision": f.Position().Revision})
+		f.log.State("store_regained", oplog.Fields{"away_ms": away.Milliseconds(), "attempts": f.pacer.ConsecutiveFailures(), "revision": f.Position().Revision})
 		if now.Sub(f.lastGood) >= f.opts.AwayAfter {
 			f.returned(now)
 		}
@@ -320,13 +320,13 @@
 	f.calls.Add(1)
 	f.failures.Add(1)
 	took := now.Sub(c.began)
-	pause := f.pacer.Failed(took)
+	pause := f.pacer.RecordFailure(took)
 	if f.failingSince.IsZero() {
 		f.failingSince = now
 		f.log.State("store_lost", oplog.Fields{"call": c.kind, "error": err.Error(), "revision": f.Position().Revision})
 	}
 	f.log.Decision("store_call_failed", oplog.Fields{
-		"call": c.kind, "attempt": f.pacer.Attempts(), "wait_ms": c.wait.Milliseconds(), "took_ms": took.Milliseconds(),
+		"call": c.kind, "attempt": f.pacer.ConsecutiveFailures(), "wait_ms": c.wait.Milliseconds(), "took_ms": took.Milliseconds(),
 		"retry_in_ms": pause.Milliseconds(), "age_ms": f.Age(now).Milliseconds(), "error": err.Error(),
 	})
 	return pause
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -76,8 +76,8 @@
 	r := &record{}
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 1, Burst: 1, Buffer: 16})
 	pace := longpoll.Options{
-		Wait: time.Second, Look: time.Millisecond, Pause: pauseAfterChanges, TimeoutFirst: time.Second, TimeoutMost: time.Second,
-		RetryFirst: 100 * time.Millisecond, RetryMost: 400 * time.Millisecond,
+		Wait: time.Second, ProbeWait: time.Millisecond, CoalesceDelay: pauseAfterChanges, Timeout: time.Second, RetryTimeout: time.Second,
+		MinBackoff: 100 * time.Millisecond, MaxBackoff: 400 * time.Millisecond,
 	}
 	f := NewFollower(s, r, Options{Pace: pace}, log)
 	f.pacer = longpoll.New(pace, func() float64 { return 1 }) // The longest of random times.
--- a/pkg/discovery/fed.go
+++ b/pkg/discovery/fed.go
@@ -91,7 +91,7 @@
 }
 
 // SetReading says whether this instance reads the store, and what it knows of the others that do.
-func (f *Follower) SetReading(reading bool, group longpoll.Group) {
+func (f *Follower) SetReading(reading bool, group longpoll.PeerGroup) {
 	f.group.Store(&group)
 	if f.reading.Swap(reading) == reading {
 		return
--- a/pkg/discovery/fed_test.go
+++ b/pkg/discovery/fed_test.go
@@ -29,14 +29,14 @@
 func TestFedInstanceGoesOnFromItsRevision(t *testing.T) {
 	s := &script{watches: []func() (Page, error){empty}}
 	f, r := follower(s)
-	f.SetReading(false, longpoll.Group{})
+	f.SetReading(false, longpoll.PeerGroup{})
 	changes := 0
 	f.OnChange(func() { changes++ })
 	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(9), Items: []feed.Item{entry("a", 3), entry("config", 9)}}))
 	require.NoError(t, f.TakeFed(feed.Page{From: at(9), To: at(11), Items: []feed.Item{entry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
 	require.ElementsMatch(t, []string{"leaf a", "config", "listed", "leaf b", "gone a"}, r.told)
 	require.Equal(t, 2, changes, "those that are fed by it are told")
-	f.SetReading(true, longpoll.Group{})
+	f.SetReading(true, longpoll.PeerGroup{})
 	require.Zero(t, f.step(context.Background()))
 	require.Equal(t, []int64{11}, s.watched, "nothing is listed")
 	require.Equal(t, at(12), f.Position())
@@ -117,10 +117,10 @@
 
 	s := &script{watches: []func() (Page, error){empty}}
 	f, r = follower(s)
-	f.SetReading(false, longpoll.Group{})
+	f.SetReading(false, longpoll.PeerGroup{})
 	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(3)}))
 	f.Proven(time.Now().Add(-time.Minute))
-	f.SetReading(true, longpoll.Group{})
+	f.SetReading(true, longpoll.PeerGroup{})
 	f.idle(context.Background())
 	f.step(context.Background())
 	require.Equal(t, []string{"listed", "returned"}, r.told)
--- a/pkg/discovery/listing.go
+++ b/pkg/discovery/listing.go
@@ -41,7 +41,7 @@
 // pages reads the pages of a listing and returns where the store was at the first one.
 func (f *Follower) pages(ctx context.Context) (at feed.Position, events []Event, err error) {
 	for first, next := true, ""; first || next != ""; first = false {
-		callCtx, cancel := context.WithTimeout(ctx, f.opts.Pace.TimeoutMost)
+		callCtx, cancel := context.WithTimeout(ctx, f.opts.Pace.RetryTimeout)
 		page, err := f.source.List(callCtx, next)
 		cancel()
 		if err != nil {
--- a/pkg/discovery/restored_test.go
+++ b/pkg/discovery/restored_test.go
@@ -197,7 +197,7 @@
 	}
 	s.watches = []func() (Page, error){late, func() (Page, error) { return Page{At: in(1, 8)}, nil }}
 	f, r := follower(s)
-	f.SetReading(true, longpoll.Group{Place: 1})
+	f.SetReading(true, longpoll.PeerGroup{RelativeRank: 1})
 	f.step(context.Background())
 	f.step(context.Background())
 	require.Equal(t, in(1, 8), f.Position())
--- a/pkg/entry/second.go
+++ b/pkg/entry/second.go
@@ -41,9 +41,9 @@
 // for every shard until the caller's deadline: a caller of this interface says
 // how long it waits, and reads from the answer what is missing.
 func gatewayOptions(s *settings.Entry) gateway.Options {
-	f := fanout.Options{AnswerMargin: replyMargin, HedgeLeast: settings.Duration(s.HedgeMinMs)}
+	f := fanout.Options{AnswerMargin: replyMargin, MinHedgeDelay: settings.Duration(s.HedgeMinMs)}
 	if s.Policy == settings.PolicyHedged {
-		f.HedgeAtTypical = hedgeAtTypical
+		f.HedgeTypicalFactor = hedgeAtTypical
 	}
 	return gateway.Options{
 		Fanout: f, MaxInFlight: s.MaxInFlight, Workers: s.Workers, EndLosers: true,
--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -18,11 +18,11 @@
 	// Busy is how many shards have leafs whose connections are all in use
 	// here.
 	Busy int
-	// Risk is how many of the other shards are expected to miss the answer,
+	// ExpectedMisses is how many of the other shards are expected to miss the answer,
 	// Spare how many may, and Chance how likely it is that no more do.
-	Risk   float64
-	Spare  int
-	Chance float64
+	ExpectedMisses     float64
+	AllowedMisses      int
+	SuccessProbability float64
 	// Overloaded: enough shards have a leaf, but too many would be missing.
 	Overloaded bool
 	// RetryAfter is when the query is worth asking again.
@@ -35,9 +35,9 @@
 	// is left alone, and the time in which the balancer asks an instance
 	// once whether it is ready.
 	retryUnreachable = time.Second
-	// RetryLate, the hint of refusals for load, is the time in which a leaf's queue of a dozen requests
+	// OverloadRetryAfter, the hint of refusals for load, is the time in which a leaf's queue of a dozen requests
 	// drains, or a pause ends.
-	RetryLate = 250 * time.Millisecond
+	OverloadRetryAfter = 250 * time.Millisecond
 )
 
 // Start decides whether the query is admitted and what is sent first.
@@ -55,14 +55,14 @@
 // The query of a caller that has come again is not refused for overload at once. Refused
 // again it would be lost: callers try a few times only. It waits, unrun, until the leafs
 // have room that no query in time needs, as long as there is hope of that.
-func (q *Query) Start(now time.Time) ([]Send, *Refusal) {
+func (q *Query) Start(now time.Time) ([]Request, *Refusal) {
 	for _, service := range q.route.Shards {
 		q.table.CountRequest(service, now)
 	}
 	if q.onTrial {
 		return q.startTrial(now)
 	}
-	sends, refusal := q.admit(now, q.opts.LeastChance)
+	sends, refusal := q.admit(now, q.opts.MinAdmitProbability)
 	if refusal != nil && refusal.Overloaded && q.returned && q.hold(now) {
 		return nil, nil
 	}
@@ -71,22 +71,22 @@
 
 // admit sends the first requests if the query is at least so likely to cover enough
 // shards in time, and refuses it otherwise.
-func (q *Query) admit(now time.Time, leastChance float64) ([]Send, *Refusal) {
+func (q *Query) admit(now time.Time, leastChance float64) ([]Request, *Refusal) {
 	found, refusal := q.place(now)
-	if refusal.Spare < 0 {
+	if refusal.AllowedMisses < 0 {
 		refusal.lacking()
 		return nil, &refusal
 	}
 	late := q.late(found, now)
 	refusal.Late = len(late)
-	refusal.Risk = q.risk(found, now)
-	refusal.Chance = atMost(refusal.Spare, refusal.Risk)
-	refusal.Overloaded = refusal.Late > refusal.Spare || refusal.Chance < leastChance
+	refusal.ExpectedMisses = q.risk(found, now)
+	refusal.SuccessProbability = atMost(refusal.AllowedMisses, refusal.ExpectedMisses)
+	refusal.Overloaded = refusal.Late > refusal.AllowedMisses || refusal.SuccessProbability < leastChance
 	if refusal.Overloaded && (q.held || !q.table.AdmitProbe(q.route.Name, now)) {
-		refusal.RetryAfter = RetryLate
+		refusal.RetryAfter = OverloadRetryAfter
 		return nil, &refusal
 	}
-	for _, p := range late[:min(refusal.Late, refusal.Spare)] {
+	for _, p := range late[:min(refusal.Late, refusal.AllowedMisses)] {
 		q.shards[p.shard].out = true
 	}
 	return q.sendFirst(found, now), nil
@@ -117,7 +117,7 @@
 			refusal.Unreachable++
 		}
 	}
-	refusal.Spare = len(q.shards) - q.need - refusal.Unreachable - refusal.Busy
+	refusal.AllowedMisses = len(q.shards) - q.need - refusal.Unreachable - refusal.Busy
 	return found, refusal
 }
 
@@ -126,12 +126,12 @@
 // only those is overload; waiting for them, unrun, for a fifth of the target made
 // no difference, because the leafs behind them are full.
 func (r *Refusal) lacking() {
-	if r.Spare+r.Busy < 0 {
+	if r.AllowedMisses+r.Busy < 0 {
 		r.RetryAfter = retryUnreachable
 		return
 	}
 	r.Overloaded = true
-	r.RetryAfter = RetryLate
+	r.RetryAfter = OverloadRetryAfter
 }
 
 // placed is a shard with the leaf found for it.
@@ -231,14 +231,14 @@
 }
 
 // sendFirst sends the first request of every shard that is not left out.
-func (q *Query) sendFirst(found []placed, now time.Time) []Send {
-	sends := make([]Send, 0, len(found))
+func (q *Query) sendFirst(found []placed, now time.Time) []Request {
+	sends := make([]Request, 0, len(found))
 	for _, p := range found {
 		s := &q.shards[p.shard]
 		if s.out || s.verdict != replica.Placed {
 			continue
 		}
-		sends = q.send(sends, p.shard, p.placement, First, now)
+		sends = q.send(sends, p.shard, p.placement, ReasonFirst, now)
 	}
 	return sends
 }
--- a/pkg/fanout/cold_test.go
+++ b/pkg/fanout/cold_test.go
@@ -56,16 +56,16 @@
 
 // arriving is a reply on its way.
 type arriving struct {
-	send Send
+	send Request
 	at   time.Time
 }
 
 // search runs one query and reports whether it covered every shard.
 func (c *coldStart) search() bool {
 	end := c.now.Add(coldPatience)
-	q := New(c.table, c.route, Options{HedgeAtTypical: 3, HedgeLeast: 5 * time.Millisecond}, Timing{Start: c.now, HardEnd: end})
+	q := New(c.table, c.route, Options{HedgeTypicalFactor: 3, MinHedgeDelay: 5 * time.Millisecond}, Params{Start: c.now, Deadline: end})
 	var air []arriving
-	send := func(sends []Send) {
+	send := func(sends []Request) {
 		for _, s := range sends {
 			took := warmWork + c.stall()
 			if s.Call.Leaf.ID == "a1" {
@@ -83,7 +83,7 @@
 				next = i
 			}
 		}
-		due := q.Next(c.now)
+		due := q.NextCheck(c.now)
 		if next < 0 || due.Before(air[next].at) {
 			c.now = due
 			send(q.Tick(c.now))
@@ -92,17 +92,17 @@
 		a := air[next]
 		air = append(air[:next], air[next+1:]...)
 		c.now = a.at
-		if q.Lack(a.send.Shard) == Covered {
+		if q.ShardStatus(a.send.Shard) == Covered {
 			continue
 		}
 		c.table.End(a.send.Call, replica.Answered, c.now)
-		send(q.Reply(a.send.Shard, a.send.Attempt, replica.Answered, c.now))
+		send(q.HandleReply(a.send.Shard, a.send.Attempt, replica.Answered, c.now))
 		air = c.endLosers(air, a.send.Shard)
 	}
 	for _, a := range air {
 		c.table.End(a.send.Call, replica.Abandoned, c.now)
 	}
-	return q.Covered() == len(c.route.Shards)
+	return q.CoveredShards() == len(c.route.Shards)
 }
 
 // endLosers ends what is still open of a shard that is answered.
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -21,26 +21,26 @@
 	// PartialAnswers: give a partial answer at the target latency. Off, an
 	// answer waits for every shard until the deadline.
 	PartialAnswers bool
-	// HedgeAtTypical is when a second request is due, in multiples of the
+	// HedgeTypicalFactor is when a second request is due, in multiples of the
 	// typical reply time; zero: only after a failure.
-	HedgeAtTypical float64
-	// HedgeAtTarget bounds that time from below, as a part of the target, and
+	HedgeTypicalFactor float64
+	// HedgeTargetFraction bounds that time from below, as a part of the target, and
 	// HedgeLeast as a time.
-	HedgeAtTarget float64
-	HedgeLeast    time.Duration
-	// UsefulTarget is how long a first request is of use to the leaf, in
+	HedgeTargetFraction float64
+	MinHedgeDelay       time.Duration
+	// RequestDeadlineFactor is how long a first request is of use to the leaf, in
 	// multiples of the target latency.
-	UsefulTarget float64
-	// LeastChance is how likely (0 to 1) a query must be to cover enough shards
+	RequestDeadlineFactor float64
+	// MinAdmitProbability is how likely (0 to 1) a query must be to cover enough shards
 	// by the target to be admitted.
-	LeastChance float64
-	// LateWait is the part (0 to 1) of the time left at the target for which a
+	MinAdmitProbability float64
+	// LateWaitFraction is the part (0 to 1) of the time left at the target for which a
 	// query that covers too little then still waits for room to ask again.
-	LateWait float64
-	// HeldChance is how likely a query that is held must be to be in time, were it
+	LateWaitFraction float64
+	// MinReleaseProbability is how likely a query that is held must be to be in time, were it
 	// new, to be started; HeldWait the part (0 to 1) of its time that it waits so.
-	HeldChance float64
-	HeldWait   float64
+	MinReleaseProbability float64
+	HeldWaitFraction      float64
 }
 
 // retryStep is how soon a shard whose second request found no budget or no
@@ -57,13 +57,13 @@
 // takes about a millisecond.
 const busyStep = 2 * time.Millisecond
 
-// MaxAttempts bounds the requests sent for one shard. It counts requests, where the route's
+// MaxRequestsPerShard bounds the requests sent for one shard. It counts requests, where the route's
 // bound counts leafs: a late query asks leafs that it has asked before again, each of the usual
 // two once. More would load a shard that fails already.
-const MaxAttempts = 4
+const MaxRequestsPerShard = 4
 
-// Send tells the caller to send one request.
-type Send struct {
+// Request tells the caller to send one request.
+type Request struct {
 	Shard   int
 	Attempt int
 	Call    *replica.Call
@@ -77,16 +77,16 @@
 type Reason int
 
 const (
-	// First request of the shard.
-	First Reason = iota
-	// Slow: the earlier one takes longer than usual.
-	Slow
-	// Silent: the earlier one's leaf answers nobody.
-	Silent
-	// Repeat: the earlier one failed.
-	Repeat
-	// Trial: the only one of a query that is suspected of ending leafs.
-	Trial
+	// ReasonFirst request of the shard.
+	ReasonFirst Reason = iota
+	// ReasonSlow: the earlier one takes longer than usual.
+	ReasonSlow
+	// ReasonSilent: the earlier one's leaf answers nobody.
+	ReasonSilent
+	// ReasonRetry: the earlier one failed.
+	ReasonRetry
+	// ReasonTrial: the only one of a query that is suspected of ending leafs.
+	ReasonTrial
 )
 
 // String names the reason in logs.
@@ -143,23 +143,23 @@
 	ran     bool
 }
 
-// Timing is when a query arrived and must end.
-type Timing struct {
-	Start, HardEnd time.Time
-	// Returned: its caller was turned away before and has come again.
-	Returned bool
+// Params is when a query arrived and must end.
+type Params struct {
+	Start, Deadline time.Time
+	// CallerRetried: its caller was turned away before and has come again.
+	CallerRetried bool
 	// Suspect: leafs have ended under the same request, the last one of the shard SuspectOf.
-	Suspect   bool
-	SuspectOf string
+	Suspect        bool
+	SuspectService string
 }
 
 // New starts a query.
-func New(table *replica.Table, route *routing.Route, opts Options, timing Timing) *Query {
+func New(table *replica.Table, route *routing.Route, opts Options, timing Params) *Query {
 	q := &Query{
-		table: table, route: route, opts: opts, start: timing.Start, hardEnd: timing.HardEnd, returned: timing.Returned,
-		onTrial: timing.Suspect, trialOf: timing.SuspectOf,
+		table: table, route: route, opts: opts, start: timing.Start, hardEnd: timing.Deadline, returned: timing.CallerRetried,
+		onTrial: timing.Suspect, trialOf: timing.SuspectService,
 		shards: make([]shard, len(route.Shards)),
-		need:   Need(len(route.Shards), route.MinShare),
+		need:   RequiredShards(len(route.Shards), route.MinShare),
 	}
 	q.softEnd = q.hardEnd
 	if q.aimed() {
@@ -175,8 +175,8 @@
 // when every shard is in.
 func (q *Query) aimed() bool { return q.opts.PartialAnswers && q.route.TargetLatency > 0 }
 
-// Need is how many of n shards an answer must cover for the least share.
-func Need(n int, minShare float64) int {
+// RequiredShards is how many of n shards an answer must cover for the least share.
+func RequiredShards(n int, minShare float64) int {
 	const rounding = 1e-9
 	return max(1, int(math.Ceil(float64(n)*minShare-rounding)))
 }
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -16,7 +16,7 @@
 		min  float64
 		want int
 	}{{20, 0.89, 18}, {20, 0.9, 18}, {20, 0.75, 15}, {30, 0.9, 27}, {3, 0, 1}, {10, 1, 10}, {7, 0.5, 4}} {
-		require.Equal(t, tc.want, Need(tc.n, tc.min), "%v", tc)
+		require.Equal(t, tc.want, RequiredShards(tc.n, tc.min), "%v", tc)
 	}
 }
 
@@ -35,10 +35,10 @@
 		Name: "r", Kind: routing.Gather, Shards: []string{"a", "b"}, MinShare: 0.5, MaxAttempts: 2,
 		TargetLatency: 200 * time.Millisecond,
 	}
-	return New(table, route, standard(), Timing{Start: epoch, HardEnd: at(3000)}), table
+	return New(table, route, standard(), Params{Start: epoch, Deadline: at(3000)}), table
 }
 
-func startAll(t *testing.T, q *Query) []Send {
+func startAll(t *testing.T, q *Query) []Request {
 	t.Helper()
 	sends, refusal := q.Start(epoch)
 	require.Nil(t, refusal)
@@ -49,20 +49,20 @@
 func TestCompleteWhenEveryShardIsIn(t *testing.T) {
 	q, _ := fixture()
 	startAll(t, q)
-	q.Reply(0, 0, replica.Answered, at(20))
+	q.HandleReply(0, 0, replica.Answered, at(20))
 	require.Equal(t, Running, q.State(at(20)))
-	q.Reply(1, 0, replica.Answered, at(25))
+	q.HandleReply(1, 0, replica.Answered, at(25))
 	require.Equal(t, Complete, q.State(at(25)))
 }
 
 func TestEnoughAtTheTarget(t *testing.T) {
 	q, _ := fixture()
 	startAll(t, q)
-	q.Reply(0, 0, replica.Answered, at(20))
+	q.HandleReply(0, 0, replica.Answered, at(20))
 	require.Equal(t, Running, q.State(at(194)))
 	require.Equal(t, Complete, q.State(at(195)), "the target less the margin")
-	require.Equal(t, Covered, q.Lack(0))
-	require.Equal(t, Unanswered, q.Lack(1))
+	require.Equal(t, Covered, q.ShardStatus(0))
+	require.Equal(t, Unanswered, q.ShardStatus(1))
 }
 
 // A route that may miss nothing is refused at a smaller expected loss than one
@@ -90,18 +90,18 @@
 			busy = append(busy, table.Begin(replica.Placement{Leaf: replica.Leaf{ID: id}}, "r", epoch))
 		}
 	}
-	q := New(table, route, Options{}, Timing{Start: epoch, HardEnd: at(300)})
+	q := New(table, route, Options{}, Params{Start: epoch, Deadline: at(300)})
 	sends, refusal := q.Start(epoch)
 	require.Nil(t, refusal)
 	require.Len(t, sends, 1, "the other shard's request")
-	require.Equal(t, AllBusy, q.Lack(0))
-	require.Empty(t, q.Tick(q.Next(epoch)))
+	require.Equal(t, AllBusy, q.ShardStatus(0))
+	require.Empty(t, q.Tick(q.NextCheck(epoch)))
 	table.End(busy[0], replica.Answered, at(5))
 	sends = q.Tick(at(6))
 	require.Len(t, sends, 1)
-	require.Equal(t, First, sends[0].Reason)
-	q.Reply(1, 0, replica.Answered, at(6))
-	q.Reply(0, 0, replica.Answered, at(7))
+	require.Equal(t, ReasonFirst, sends[0].Reason)
+	q.HandleReply(1, 0, replica.Answered, at(6))
+	q.HandleReply(0, 0, replica.Answered, at(7))
 	require.Equal(t, Complete, q.State(at(7)))
 }
 
@@ -112,15 +112,15 @@
 func TestQueryForEveryShardWaitsForRoomAfterAFailure(t *testing.T) {
 	_, table := fixture()
 	route := &routing.Route{Name: "r", Shards: []string{"a", "b"}, MaxAttempts: 2}
-	q := New(table, route, Options{}, Timing{Start: epoch, HardEnd: at(300)})
+	q := New(table, route, Options{}, Params{Start: epoch, Deadline: at(300)})
 	sends, _ := q.Start(epoch)
 	other := map[string]string{"a0": "a1", "a1": "a0"}[sends[0].Call.Leaf.ID]
 	var busy []*replica.Call
 	for range 2 {
 		busy = append(busy, table.Begin(replica.Placement{Leaf: replica.Leaf{ID: other}}, "r", epoch))
 	}
-	require.Empty(t, q.Reply(0, 0, replica.Refused, at(1)))
-	q.Reply(1, 0, replica.Answered, at(2))
+	require.Empty(t, q.HandleReply(0, 0, replica.Refused, at(1)))
+	q.HandleReply(1, 0, replica.Answered, at(2))
 	require.Equal(t, Running, q.State(at(2)))
 	table.End(busy[0], replica.Answered, at(10))
 	require.Len(t, q.Tick(at(20)), 1)
@@ -133,19 +133,19 @@
 	route := &routing.Route{Name: "r", Shards: []string{"a", "b"}, MaxAttempts: 2}
 	for table.TakeSecond("a", epoch) {
 	}
-	q := New(table, route, Options{}, Timing{Start: epoch, HardEnd: at(300)})
+	q := New(table, route, Options{}, Params{Start: epoch, Deadline: at(300)})
 	startAll(t, q)
-	require.Empty(t, q.Reply(0, 0, replica.Refused, at(1)))
-	q.Reply(1, 0, replica.Answered, at(2))
+	require.Empty(t, q.HandleReply(0, 0, replica.Refused, at(1)))
+	q.HandleReply(1, 0, replica.Answered, at(2))
 	require.Equal(t, Complete, q.State(at(2)))
-	require.Equal(t, Failed, q.Lack(0))
+	require.Equal(t, Failed, q.ShardStatus(0))
 }
 
 func TestTooFewAtTheTargetWaitsOn(t *testing.T) {
 	q, _ := fixture()
 	startAll(t, q)
 	require.Equal(t, Running, q.State(at(500)))
-	q.Reply(0, 0, replica.Answered, at(510))
+	q.HandleReply(0, 0, replica.Answered, at(510))
 	require.Equal(t, Complete, q.State(at(510)))
 	require.Equal(t, Expired, func() State { q, _ := fixture(); startAll(t, q); return q.State(at(3000)) }())
 }
@@ -156,10 +156,10 @@
 	q, _ := fixture()
 	startAll(t, q)
 	for i := range 2 {
-		require.Len(t, q.Reply(i, 0, replica.Broken, at(5)), 1, "the other leaf is asked")
-		require.Empty(t, q.Reply(i, 1, replica.Broken, at(9)))
+		require.Len(t, q.HandleReply(i, 0, replica.Broken, at(5)), 1, "the other leaf is asked")
+		require.Empty(t, q.HandleReply(i, 1, replica.Broken, at(9)))
 	}
-	require.True(t, q.Ran())
+	require.True(t, q.MayHaveRun())
 	require.Empty(t, q.Tick(at(1500)), "no budget")
 	require.Equal(t, Running, q.State(at(1500)))
 	require.Empty(t, q.Tick(at(1600)))
@@ -171,7 +171,7 @@
 		table.Remove(id, at(3))
 	}
 	for i := range 2 {
-		require.Empty(t, q.Reply(i, 0, replica.Broken, at(5)))
+		require.Empty(t, q.HandleReply(i, 0, replica.Broken, at(5)))
 	}
 	require.Equal(t, Insufficient, q.State(at(5)))
 }
@@ -191,19 +191,19 @@
 			table.End(table.Begin(p, "r", at(1990)), replica.Answered, at(2000))
 		}
 	}
-	q = New(table, q.route, standard(), Timing{Start: at(2000), HardEnd: at(5000)})
+	q = New(table, q.route, standard(), Params{Start: at(2000), Deadline: at(5000)})
 	sends, refusal := q.Start(at(2000))
 	require.Nil(t, refusal)
 	require.Len(t, sends, 1)
-	require.Equal(t, Overloaded, q.Lack(0))
+	require.Equal(t, Overloaded, q.ShardStatus(0))
 	table.Remove("b0", at(2001))
 	table.Remove("b1", at(2001))
-	sends = q.Reply(1, 0, replica.Broken, at(2010))
+	sends = q.HandleReply(1, 0, replica.Broken, at(2010))
 	require.Len(t, sends, 1)
-	require.Equal(t, First, sends[0].Reason, "on no budget")
+	require.Equal(t, ReasonFirst, sends[0].Reason, "on no budget")
 	require.Equal(t, at(5000), sends[0].Deadline, "a late reply is of use")
 	require.Equal(t, Running, q.State(at(2500)))
-	q.Reply(0, 0, replica.Answered, at(4000))
+	q.HandleReply(0, 0, replica.Answered, at(4000))
 	require.Equal(t, Complete, q.State(at(4000)))
 }
 
@@ -218,17 +218,17 @@
 		}
 	}
 	table.AdmitProbe("r", at(1000))
-	_, refusal := New(table, route, standard(), Timing{Start: at(1000), HardEnd: at(4000)}).Start(at(1000))
+	_, refusal := New(table, route, standard(), Params{Start: at(1000), Deadline: at(4000)}).Start(at(1000))
 	require.True(t, refusal.Overloaded)
-	q := New(table, route, standard(), Timing{Start: at(1000), HardEnd: at(3750), Returned: true})
+	q := New(table, route, standard(), Params{Start: at(1000), Deadline: at(3750), CallerRetried: true})
 	sends, refusal := q.Start(at(1000))
 	require.Nil(t, refusal)
 	require.Empty(t, sends)
-	require.False(t, q.Ran())
-	require.Equal(t, at(1025), q.Next(at(1000)))
+	require.False(t, q.MayHaveRun())
+	require.Equal(t, at(1025), q.NextCheck(at(1000)))
 	require.Empty(t, q.Tick(at(1100)))
 	require.Equal(t, Running, q.State(at(1100)))
-	require.Equal(t, 100*time.Millisecond, q.Held(at(1100)))
+	require.Equal(t, 100*time.Millisecond, q.HeldFor(at(1100)))
 
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
 		for range 20 {
@@ -236,10 +236,10 @@
 		}
 	}
 	require.Len(t, q.Tick(at(1200)), 2)
-	require.Zero(t, q.Held(at(1200)))
+	require.Zero(t, q.HeldFor(at(1200)))
 	require.Equal(t, Running, q.State(at(3100)), "a late answer is of use")
-	q.Reply(0, 0, replica.Answered, at(3200))
-	q.Reply(1, 0, replica.Answered, at(3210))
+	q.HandleReply(0, 0, replica.Answered, at(3200))
+	q.HandleReply(1, 0, replica.Answered, at(3210))
 	require.Equal(t, Complete, q.State(at(3210)))
 }
 
@@ -256,7 +256,7 @@
 	}
 	ask := func(ms int) (*Query, *Refusal) {
 		table.AdmitProbe("r", at(ms))
-		q := New(table, route, standard(), Timing{Start: at(ms), HardEnd: at(ms + 2750), Returned: true})
+		q := New(table, route, standard(), Params{Start: at(ms), Deadline: at(ms + 2750), CallerRetried: true})
 		_, refusal := q.Start(at(ms))
 		return q, refusal
 	}
@@ -268,7 +268,7 @@
 	require.Equal(t, Running, first.State(at(1790)))
 	require.Empty(t, first.Tick(at(1800)))
 	require.Equal(t, Insufficient, first.State(at(1800)))
-	require.False(t, first.Ran())
+	require.False(t, first.MayHaveRun())
 	require.Empty(t, later.Tick(at(1825)), "it is told as well")
 	require.Equal(t, Insufficient, later.State(at(1825)))
 	held := 0
@@ -279,7 +279,7 @@
 			continue
 		}
 		require.True(t, refusal.Overloaded)
-		require.Equal(t, RetryLate, refusal.RetryAfter)
+		require.Equal(t, OverloadRetryAfter, refusal.RetryAfter)
 	}
 	require.LessOrEqual(t, held, 2, "one each two seconds finds out whether there is room again")
 }
@@ -307,9 +307,9 @@
 func TestOutOfRangeRepliesAreIgnored(t *testing.T) {
 	q, _ := fixture()
 	startAll(t, q)
-	q.Reply(0, 0, replica.Answered, at(10))
-	require.Empty(t, q.Reply(0, 0, replica.Broken, at(11)), "an attempt ends once")
-	require.Equal(t, 1, q.Covered())
+	q.HandleReply(0, 0, replica.Answered, at(10))
+	require.Empty(t, q.HandleReply(0, 0, replica.Broken, at(11)), "an attempt ends once")
+	require.Equal(t, 1, q.CoveredShards())
 }
 
 // Symptom: an instance refuses every query for good after a restart in the
@@ -325,7 +325,7 @@
 	}
 	admitted := 0
 	for ms := 1000; ms < 60000; ms += 50 {
-		q = New(table, q.route, standard(), Timing{Start: at(ms), HardEnd: at(ms + 3000)})
+		q = New(table, q.route, standard(), Params{Start: at(ms), Deadline: at(ms + 3000)})
 		sends, refusal := q.Start(at(ms))
 		if refusal != nil {
 			continue
@@ -344,11 +344,11 @@
 	q, table := fixture()
 	q.need = 2
 	startAll(t, q)
-	q.Reply(0, 0, replica.Answered, at(20))
+	q.HandleReply(0, 0, replica.Answered, at(20))
 	for table.TakeSecond("b", at(20)) {
 		continue
 	}
-	q.Reply(1, 0, replica.TimedOut, at(150))
+	q.HandleReply(1, 0, replica.TimedOut, at(150))
 	require.Equal(t, Running, q.State(at(150)), "the budget may have room before the target")
 	q.Tick(at(195))
 	require.Equal(t, Running, q.State(at(195)), "a late answer is of use, and the caller has time")
@@ -369,7 +369,7 @@
 	require.NotNil(t, refusal)
 	require.True(t, refusal.Overloaded)
 	require.Equal(t, 2, refusal.Busy)
-	require.Equal(t, RetryLate, refusal.RetryAfter)
+	require.Equal(t, OverloadRetryAfter, refusal.RetryAfter)
 
 	q, table = fixture()
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
--- a/pkg/fanout/late.go
+++ b/pkg/fanout/late.go
@@ -16,7 +16,7 @@
 	}
 	q.held = true
 	q.heldSince = now
-	q.heldUntil = q.softEnd.Add(time.Duration(q.opts.HeldWait * float64(q.hardEnd.Sub(q.softEnd))))
+	q.heldUntil = q.softEnd.Add(time.Duration(q.opts.HeldWaitFraction * float64(q.hardEnd.Sub(q.softEnd))))
 	return true
 }
 
@@ -24,7 +24,7 @@
 //
 // A look costs a placement of every shard, so all queries of a route that are held share
 // one look each few milliseconds: a hundred of them would use up a small processor.
-func (q *Query) release(now time.Time) []Send {
+func (q *Query) release(now time.Time) []Request {
 	if !now.Before(q.heldUntil) || q.table.HoldInVain(q.route.Name, q.heldSince, now) {
 		q.inVain = true
 		q.table.HoldEnded(q.route.Name, false, now)
@@ -33,9 +33,9 @@
 	if !q.table.AdmitLook(q.route.Name, now) {
 		return nil
 	}
-	sends, refusal := q.admit(now, q.opts.HeldChance)
+	sends, refusal := q.admit(now, q.opts.MinReleaseProbability)
 	if refusal != nil {
-		if refusal.Late <= refusal.Spare && refusal.Chance >= q.opts.LeastChance {
+		if refusal.Late <= refusal.AllowedMisses && refusal.SuccessProbability >= q.opts.MinAdmitProbability {
 			q.table.HoldSign(q.route.Name, now)
 		}
 		return nil
@@ -46,9 +46,9 @@
 	return sends
 }
 
-// Held is how long the query has waited for room; zero: it was not held, or has been
+// HeldFor is how long the query has waited for room; zero: it was not held, or has been
 // started.
-func (q *Query) Held(now time.Time) time.Duration {
+func (q *Query) HeldFor(now time.Time) time.Duration {
 	if !q.held {
 		return 0
 	}
@@ -81,7 +81,7 @@
 // 86 of them with shards that were never asked). A late answer is worth more to the
 // caller than none. Only as many are asked as are lacking, those that nothing was sent
 // for first: their first request is on no budget.
-func (q *Query) makeUp(sends []Send, now time.Time) []Send {
+func (q *Query) makeUp(sends []Request, now time.Time) []Request {
 	if q.unproven() || !q.overdue && !q.canOnlyBeLate(now) {
 		return sends
 	}
@@ -139,5 +139,5 @@
 
 // lateEnd is when a late query stops waiting for room to ask again.
 func (q *Query) lateEnd() time.Time {
-	return q.softEnd.Add(time.Duration(q.opts.LateWait * float64(q.hardEnd.Sub(q.softEnd))))
+	return q.softEnd.Add(time.Duration(q.opts.LateWaitFraction * float64(q.hardEnd.Sub(q.softEnd))))
 }
--- a/pkg/fanout/progress.go
+++ b/pkg/fanout/progress.go
@@ -10,7 +10,7 @@
 // send records one request of a shard and adds it to sends. There is none when the
 // last connection to the leaf was taken since it was placed; the shard is then
 // looked at again.
-func (q *Query) send(sends []Send, i int, p replica.Placement, why Reason, now time.Time) []Send {
+func (q *Query) send(sends []Request, i int, p replica.Placement, why Reason, now time.Time) []Request {
 	s := &q.shards[i]
 	call := q.table.Begin(p, q.route.Name, now)
 	if call == nil {
@@ -24,10 +24,10 @@
 	}
 	s.open++
 	s.lookAt = time.Time{}
-	if q.opts.HedgeAtTypical > 0 {
+	if q.opts.HedgeTypicalFactor > 0 {
 		s.lookAt = now.Add(q.hedgeDelay())
 	}
-	return append(sends, Send{
+	return append(sends, Request{
 		Shard: i, Attempt: len(s.attempts) - 1, Call: call,
 		Deadline: q.usefulUntil(now), Reason: why,
 	})
@@ -44,7 +44,7 @@
 	if !q.aimed() {
 		return end
 	}
-	useful := q.start.Add(time.Duration(q.opts.UsefulTarget * float64(q.route.TargetLatency)))
+	useful := q.start.Add(time.Duration(q.opts.RequestDeadlineFactor * float64(q.route.TargetLatency)))
 	if q.overdue || !now.Before(q.softEnd) || useful.After(end) {
 		return end
 	}
@@ -53,13 +53,13 @@
 
 // hedgeDelay is how long a request may take before a second one is due.
 func (q *Query) hedgeDelay() time.Duration {
-	typical := time.Duration(q.opts.HedgeAtTypical * float64(q.table.Typical(q.route.Name)))
-	floor := time.Duration(q.opts.HedgeAtTarget * float64(q.route.TargetLatency))
-	return max(typical, floor, q.opts.HedgeLeast)
+	typical := time.Duration(q.opts.HedgeTypicalFactor * float64(q.table.Typical(q.route.Name)))
+	floor := time.Duration(q.opts.HedgeTargetFraction * float64(q.route.TargetLatency))
+	return max(typical, floor, q.opts.MinHedgeDelay)
 }
 
-// Reply takes over what became of a request, and returns what to send next.
-func (q *Query) Reply(i, n int, outcome replica.Outcome, now time.Time) []Send {
+// HandleReply takes over what became of a request, and returns what to send next.
+func (q *Query) HandleReply(i, n int, outcome replica.Outcome, now time.Time) []Request {
 	s := &q.shards[i]
 	a := &s.attempts[n]
 	if !a.open {
@@ -86,13 +86,13 @@
 	if outcome == replica.Answered || s.covered || s.open > 0 || q.givenUp {
 		return nil
 	}
-	return q.makeUp(q.second(nil, i, Repeat, now), now)
+	return q.makeUp(q.second(nil, i, ReasonRetry, now), now)
 }
 
 // second adds another request for shard i to sends if the route, the budget and the
 // leafs allow it; otherwise the shard is looked at again a little later, or
 // left out.
-func (q *Query) second(sends []Send, i int, why Reason, now time.Time) []Send {
+func (q *Query) second(sends []Request, i int, why Reason, now time.Time) []Request {
 	s := &q.shards[i]
 	s.lookAt = now.Add(retryStep)
 	if q.unproven() {
@@ -118,7 +118,7 @@
 // yet, as long as the route allows more leafs. A late query asks the same ones again,
 // so that a leaf that refused for want of room, or paused, is not lost to it.
 func (q *Query) another(s *shard, service string, now time.Time) (replica.Placement, replica.Verdict) {
-	if len(s.attempts) >= MaxAttempts {
+	if len(s.attempts) >= MaxRequestsPerShard {
 		return replica.Placement{}, replica.NoLeaf
 	}
 	if len(s.tried) < q.route.MaxAttempts {
@@ -143,13 +143,13 @@
 
 // first adds the first request of a shard whose leafs had no free connection
 // before to sends, or looks at it again a little later.
-func (q *Query) first(sends []Send, i int, now time.Time) []Send {
+func (q *Query) first(sends []Request, i int, now time.Time) []Request {
 	s := &q.shards[i]
 	p, v := q.table.Place(q.route.Shards[i], q.route.Name, nil, now)
 	s.verdict = v
 	switch v {
 	case replica.Placed:
-		return q.send(sends, i, p, First, now)
+		return q.send(sends, i, p, ReasonFirst, now)
 	case replica.AllBusy:
 		s.out = q.aimed() && !now.Before(q.lateEnd())
 		s.lookAt = now.Add(busyStep)
@@ -167,7 +167,7 @@
 // shard for certain; one notices searches whose budget is not used and that lack a shard.
 func (q *Query) tooLate(p replica.Placement, now time.Time) bool {
 	if !q.aimed() {
-		return !now.Add(q.opts.HedgeLeast).Before(q.hardEnd)
+		return !now.Add(q.opts.MinHedgeDelay).Before(q.hardEnd)
 	}
 	if !q.overdue && now.Before(q.softEnd) {
 		return p.Suspect || now.Add(p.Expected).After(q.softEnd)
@@ -176,14 +176,14 @@
 }
 
 // Tick returns the second requests that are due.
-func (q *Query) Tick(now time.Time) []Send {
+func (q *Query) Tick(now time.Time) []Request {
 	if q.inVain || q.trying || q.givenUp {
 		return nil
 	}
 	if q.held {
 		return q.release(now)
 	}
-	var sends []Send
+	var sends []Request
 	for i := range q.shards {
 		s := &q.shards[i]
 		if s.covered || s.out || s.lookAt.IsZero() || now.Before(s.lookAt) {
@@ -201,18 +201,18 @@
 // why is the reason of a second request for s.
 func (q *Query) why(s *shard, now time.Time) Reason {
 	if s.open == 0 {
-		return Repeat
+		return ReasonRetry
 	}
 	for _, a := range s.attempts {
 		if a.open && q.table.Suspect(a.call, now) {
-			return Silent
+			return ReasonSilent
 		}
 	}
-	return Slow
+	return ReasonSlow
 }
 
-// Next is when Tick or Verdict is to be asked again at the latest.
-func (q *Query) Next(now time.Time) time.Time {
+// NextCheck is when Tick or Verdict is to be asked again at the latest.
+func (q *Query) NextCheck(now time.Time) time.Time {
 	if q.held {
 		return now.Add(heldStep)
 	}
--- a/pkg/fanout/replay_test.go
+++ b/pkg/fanout/replay_test.go
@@ -68,7 +68,7 @@
 // simJob is one request at a leaf.
 type simJob struct {
 	run      *simQuery
-	send     Send
+	send     Request
 	work     float64
 	deadline time.Duration
 }
@@ -189,7 +189,7 @@
 // ask starts a caller's query, at its first or second attempt.
 func (r *replay) ask(began time.Duration, end time.Time, again bool) {
 	table := r.tables[r.rng.IntN(len(r.tables))]
-	timing := Timing{Start: r.clock(), HardEnd: end, Returned: again && r.load.known}
+	timing := Params{Start: r.clock(), Deadline: end, CallerRetried: again && r.load.known}
 	run := &simQuery{start: began, query: New(table, r.route, r.opts, timing)}
 	sends, refusal := run.query.Start(r.clock())
 	switch {
@@ -204,9 +204,9 @@
 }
 
 // send puts requests on their way.
-func (r *replay) send(run *simQuery, sends []Send) {
+func (r *replay) send(run *simQuery, sends []Request) {
 	for _, s := range sends {
-		if s.Reason != First {
+		if s.Reason != ReasonFirst {
 			r.result.second++
 		}
 		work := r.load.workMs * math.Exp(0.35*r.rng.NormFloat64())
@@ -288,7 +288,7 @@
 		if job.run.done {
 			return
 		}
-		r.send(job.run, job.run.query.Reply(job.send.Shard, job.send.Attempt, outcome, r.clock()))
+		r.send(job.run, job.run.query.HandleReply(job.send.Shard, job.send.Attempt, outcome, r.clock()))
 		r.check(job.run)
 	})
 }
@@ -303,7 +303,7 @@
 		r.count(run, state)
 		return
 	}
-	wait := max(run.query.Next(r.clock()).Sub(r.clock()), time.Millisecond)
+	wait := max(run.query.NextCheck(r.clock()).Sub(r.clock()), time.Millisecond)
 	r.after(wait, func() {
 		if run.done {
 			return
@@ -315,11 +315,11 @@
 
 func (r *replay) count(run *simQuery, state State) {
 	if state != Complete {
-		r.result.inVain += run.query.Held(r.clock())
+		r.result.inVain += run.query.HeldFor(r.clock())
 		r.result.failed++
 		return
 	}
-	share := float64(run.query.Covered()) / float64(r.load.shards)
+	share := float64(run.query.CoveredShards()) / float64(r.load.shards)
 	if r.now-run.start <= ms(float64(r.load.targetMs)) {
 		r.result.inTime++
 		r.result.earned += share * share
@@ -340,8 +340,8 @@
 func standard() Options {
 	return Options{
 		AnswerMargin: 5 * time.Millisecond, PartialAnswers: true,
-		HedgeAtTypical: 2.5, HedgeAtTarget: 0.25, HedgeLeast: 15 * time.Millisecond, UsefulTarget: 1, LeastChance: 0.25,
-		LateWait: 0.5, HeldChance: 0.87, HeldWait: 0.7,
+		HedgeTypicalFactor: 2.5, HedgeTargetFraction: 0.25, MinHedgeDelay: 15 * time.Millisecond, RequestDeadlineFactor: 1, MinAdmitProbability: 0.25,
+		LateWaitFraction: 0.5, MinReleaseProbability: 0.87, HeldWaitFraction: 0.7,
 	}
 }
 
@@ -359,7 +359,7 @@
 func TestReplayPauses(t *testing.T) {
 	whole := standard()
 	whole.PartialAnswers = false
-	whole.HedgeAtTarget = 100
+	whole.HedgeTargetFraction = 100
 	naive := runReplay(busy(), whole)
 	got := runReplay(busy(), standard())
 	t.Logf("naive %.3f, standard %.3f, second requests %d of %d", naive.share(), got.share(), got.second, got.queries*20)
@@ -375,7 +375,7 @@
 	load := busy()
 	load.slow = slowShards
 	patient := standard()
-	patient.UsefulTarget = 10
+	patient.RequestDeadlineFactor = 10
 	before := runReplay(load, patient)
 	got := runReplay(load, standard())
 	t.Logf("whole deadline %.3f, target %.3f", before.share(), got.share())
@@ -402,7 +402,7 @@
 	load.perSecond = 100
 	load.down = func(shard, n int, at time.Duration) bool { return shard%3 != 0 && n == 0 && at > 5*time.Second }
 	unguarded := standard()
-	unguarded.LeastChance = 0
+	unguarded.MinAdmitProbability = 0
 	before := runReplay(load, unguarded)
 	got := runReplay(load, standard())
 	t.Logf("without the risk %.3f, %d late, %d failed; with it %.3f, %d late, %d failed, %d refused of %d",
@@ -433,7 +433,7 @@
 	load.known = true
 	got := runReplay(load, standard())
 	unpaced := standard()
-	unpaced.HeldChance = 0
+	unpaced.MinReleaseProbability = 0
 	pushed := runReplay(load, unpaced)
 	t.Logf("not known: %.3f in time, %d lost; held: %.3f, %d; not held: %.3f, %d; of %d",
 		before.share(), lost(before), got.share(), lost(got), pushed.share(), lost(pushed), got.queries)
--- a/pkg/fanout/state.go
+++ b/pkg/fanout/state.go
@@ -42,11 +42,11 @@
 	return Running
 }
 
-// Asked lists the leafs that were asked for shard i.
-func (q *Query) Asked(i int) []string { return q.shards[i].tried }
+// AskedLeafs lists the leafs that were asked for shard i.
+func (q *Query) AskedLeafs(i int) []string { return q.shards[i].tried }
 
-// OverAttempts is how many shards have asked more leafs than the route allows.
-func (q *Query) OverAttempts() int {
+// ShardsOverAttempts is how many shards have asked more leafs than the route allows.
+func (q *Query) ShardsOverAttempts() int {
 	n := 0
 	for i := range q.shards {
 		if len(q.shards[i].tried) > max(q.route.MaxAttempts, 1) {
@@ -56,21 +56,21 @@
 	return n
 }
 
-// Covered is how many shards are covered, and Need how many must be.
-func (q *Query) Covered() int { return q.covered }
+// CoveredShards is how many shards are covered, and Need how many must be.
+func (q *Query) CoveredShards() int { return q.covered }
 
-// Need is how many shards must be covered.
-func (q *Query) Need() int { return q.need }
+// RequiredShards is how many shards must be covered.
+func (q *Query) RequiredShards() int { return q.need }
 
-// Ran reports whether some leaf may have run a part of the query.
-func (q *Query) Ran() bool { return q.ran }
+// MayHaveRun reports whether some leaf may have run a part of the query.
+func (q *Query) MayHaveRun() bool { return q.ran }
 
-// Lack is why an answer does not cover a shard.
-type Lack int
+// ShardStatus is why an answer does not cover a shard.
+type ShardStatus int
 
 const (
 	// Covered: it does.
-	Covered Lack = iota
+	Covered ShardStatus = iota
 	// Unanswered: a leaf was asked and has not answered yet.
 	Unanswered
 	// Failed: every leaf that was asked failed or refused.
@@ -88,15 +88,15 @@
 )
 
 // Known reports whether the reason is one of the above.
-func (l Lack) Known() bool { return l >= Covered && l <= Withheld }
+func (l ShardStatus) Known() bool { return l >= Covered && l <= Withheld }
 
 // String names the lack in logs.
-func (l Lack) String() string {
+func (l ShardStatus) String() string {
 	return [...]string{"covered", "unanswered", "failed", "overloaded", "no_leaf", "all_down", "all_busy", "withheld"}[l]
 }
 
-// Lack returns why shard i is not covered, as far as is known.
-func (q *Query) Lack(i int) Lack {
+// ShardStatus returns why shard i is not covered, as far as is known.
+func (q *Query) ShardStatus(i int) ShardStatus {
 	s := &q.shards[i]
 	switch {
 	case s.covered:
--- a/pkg/fanout/trial.go
+++ b/pkg/fanout/trial.go
@@ -18,9 +18,9 @@
 
 // startTrial sends the query to one leaf only, of the given shard if it has one. The others
 // are asked once that leaf has answered.
-func (q *Query) startTrial(now time.Time) ([]Send, *Refusal) {
+func (q *Query) startTrial(now time.Time) ([]Request, *Refusal) {
 	found, refusal := q.place(now)
-	if refusal.Spare < 0 {
+	if refusal.AllowedMisses < 0 {
 		refusal.lacking()
 		return nil, &refusal
 	}
@@ -47,21 +47,21 @@
 }
 
 // sendTrial sends the one request of a trial.
-func (q *Query) sendTrial(shard int, now time.Time) []Send {
+func (q *Query) sendTrial(shard int, now time.Time) []Request {
 	q.trying = true
 	p, v := q.table.Place(q.route.Shards[shard], q.route.Name, q.shards[shard].tried, now)
 	if v != replica.Placed {
 		q.givenUp = true
 		return nil
 	}
-	sends := q.send(nil, shard, p, Trial, now)
+	sends := q.send(nil, shard, p, ReasonTrial, now)
 	q.givenUp = len(sends) == 0
 	return sends
 }
 
 // triedAt takes over the outcome of a trial. An answer releases the other shards; a leaf that
 // never got the request says nothing, and another one of the shard is tried.
-func (q *Query) triedAt(i int, outcome replica.Outcome, now time.Time) []Send {
+func (q *Query) triedAt(i int, outcome replica.Outcome, now time.Time) []Request {
 	switch {
 	case outcome == replica.Answered:
 		q.trying = false
@@ -76,8 +76,8 @@
 }
 
 // sendRest sends the first requests of the shards that a trial held back.
-func (q *Query) sendRest(now time.Time) []Send {
-	var sends []Send
+func (q *Query) sendRest(now time.Time) []Request {
+	var sends []Request
 	for i := range q.shards {
 		if len(q.shards[i].attempts) == 0 {
 			sends = q.first(sends, i, now)
@@ -86,8 +86,8 @@
 	return sends
 }
 
-// Trying reports whether the query is being tried at one leaf.
-func (q *Query) Trying() bool { return q.trying }
+// InTrial reports whether the query is being tried at one leaf.
+func (q *Query) InTrial() bool { return q.trying }
 
 // unproven reports whether leafs have ended under the query and none has answered it yet. Its
 // second requests wait meanwhile: those of a sound query for some milliseconds, until the
--- a/pkg/fanout/trial_test.go
+++ b/pkg/fanout/trial_test.go
@@ -12,7 +12,7 @@
 )
 
 // wide is a query over ten shards of two leafs each, of which nine are enough.
-func wide(timing Timing) *Query {
+func wide(timing Params) *Query {
 	table := replica.NewTable(replica.Options{
 		Zone: "z", OtherZoneFactor: 1.6, ConnsPerLeaf: 4, Instances: 1,
 		Budget: replica.BudgetOptions{Ratio: 1, Window: 10 * time.Second, Burst: 100},
@@ -25,7 +25,7 @@
 			table.Upsert(replica.Leaf{ID: service + id, Services: []string{service}, Zone: "z", Slots: 2}, epoch)
 		}
 	}
-	timing.Start, timing.HardEnd = epoch, at(3000)
+	timing.Start, timing.Deadline = epoch, at(3000)
 	return New(table, route, standard(), timing)
 }
 
@@ -33,42 +33,42 @@
 // same shards, as after any failure, and ended these, too: 20 leafs with one query. None had
 // answered it.
 func TestLeafsThatEndAreNotMadeUpForBeforeAnAnswer(t *testing.T) {
-	q := wide(Timing{})
+	q := wide(Params{})
 	sends, refusal := q.Start(epoch)
 	require.Nil(t, refusal)
 	require.Len(t, sends, 10)
-	require.Empty(t, q.Reply(0, 0, replica.Ended, at(10)))
-	require.Empty(t, q.Reply(1, 0, replica.Ended, at(11)))
+	require.Empty(t, q.HandleReply(0, 0, replica.Ended, at(10)))
+	require.Empty(t, q.HandleReply(1, 0, replica.Ended, at(11)))
 	require.Empty(t, q.Tick(at(150)), "slow ones get none either")
 	require.Equal(t, Running, q.State(at(150)))
-	require.Empty(t, q.Reply(2, 0, replica.Ended, at(151)))
+	require.Empty(t, q.HandleReply(2, 0, replica.Ended, at(151)))
 	require.Equal(t, Insufficient, q.State(at(151)), "the third is enough")
 	require.True(t, q.GivenUp())
 	require.True(t, q.InFlight(), "what waits at the other leafs is to be withdrawn")
-	require.Empty(t, q.Reply(3, 0, replica.Broken, at(152)))
+	require.Empty(t, q.HandleReply(3, 0, replica.Broken, at(152)))
 	require.Empty(t, q.Tick(at(200)))
 }
 
 // A sound query that is struck beside it has replies from other leafs: the first one lets
 // the shards whose leafs ended be asked again at once.
 func TestAnAnswerLetsEndedLeafsBeMadeUpFor(t *testing.T) {
-	q := wide(Timing{})
+	q := wide(Params{})
 	q.Start(epoch)
-	q.Reply(0, 0, replica.Ended, at(10))
-	q.Reply(1, 0, replica.Ended, at(11))
-	q.Reply(2, 0, replica.Answered, at(12))
-	require.False(t, q.Next(at(12)).After(at(12)))
+	q.HandleReply(0, 0, replica.Ended, at(10))
+	q.HandleReply(1, 0, replica.Ended, at(11))
+	q.HandleReply(2, 0, replica.Answered, at(12))
+	require.False(t, q.NextCheck(at(12)).After(at(12)))
 	sends := q.Tick(at(12))
 	require.Len(t, sends, 2)
-	require.Equal(t, Repeat, sends[0].Reason)
-	require.Len(t, q.Reply(3, 0, replica.Ended, at(13)), 1, "later ones at once")
+	require.Equal(t, ReasonRetry, sends[0].Reason)
+	require.Len(t, q.HandleReply(3, 0, replica.Ended, at(13)), 1, "later ones at once")
 	for i := 4; i < 10; i++ {
-		q.Reply(i, 0, replica.Answered, at(20))
+		q.HandleReply(i, 0, replica.Answered, at(20))
 	}
 	for i := range 2 {
-		q.Reply(i, 1, replica.Answered, at(30))
+		q.HandleReply(i, 1, replica.Answered, at(30))
 	}
-	q.Reply(3, 1, replica.Answered, at(30))
+	q.HandleReply(3, 1, replica.Answered, at(30))
 	require.Equal(t, Complete, q.State(at(30)))
 }
 
@@ -88,22 +88,22 @@
 		{replica.NotSent, 1, Running, false},
 	} {
 		t.Run(tc.outcome.String(), func(t *testing.T) {
-			q := wide(Timing{Suspect: true, SuspectOf: "s4"})
+			q := wide(Params{Suspect: true, SuspectService: "s4"})
 			sends, refusal := q.Start(epoch)
 			require.Nil(t, refusal)
 			require.Len(t, sends, 1)
 			require.Equal(t, 4, sends[0].Shard)
-			require.Equal(t, Trial, sends[0].Reason)
-			require.True(t, q.Trying())
+			require.Equal(t, ReasonTrial, sends[0].Reason)
+			require.True(t, q.InTrial())
 			require.Empty(t, q.Tick(at(150)), "no second request beside it")
 			require.Equal(t, Running, q.State(at(150)))
-			require.False(t, q.Next(at(150)).Before(at(150)))
-			got := q.Reply(4, 0, tc.outcome, at(160))
+			require.False(t, q.NextCheck(at(150)).Before(at(150)))
+			got := q.HandleReply(4, 0, tc.outcome, at(160))
 			require.Len(t, got, tc.sends)
 			require.Equal(t, tc.state, q.State(at(160)))
-			require.Equal(t, tc.ran, q.Ran())
+			require.Equal(t, tc.ran, q.MayHaveRun())
 			if tc.outcome == replica.NotSent {
-				require.Empty(t, q.Reply(4, 1, replica.NotSent, at(161)))
+				require.Empty(t, q.HandleReply(4, 1, replica.NotSent, at(161)))
 				require.Equal(t, Insufficient, q.State(at(161)))
 			}
 		})
@@ -112,7 +112,7 @@
 
 // A shard that the route does not have, or whose leafs are gone, is no reason not to try.
 func TestTrialOfAnotherShard(t *testing.T) {
-	q := wide(Timing{Suspect: true, SuspectOf: "elsewhere"})
+	q := wide(Params{Suspect: true, SuspectService: "elsewhere"})
 	sends, _ := q.Start(epoch)
 	require.Len(t, sends, 1)
 	require.Equal(t, 0, sends[0].Shard)
--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -54,20 +54,20 @@
 // throughPeers hands requests to leafs of other zones to peers there, and returns the sends
 // that remain to be sent directly. First requests go together. A second one goes alone:
 // its records must be told from those of the first, whichever comes.
-func (r *gathering) throughPeers(sends []fanout.Send) []fanout.Send {
+func (r *gathering) throughPeers(sends []fanout.Request) []fanout.Request {
 	if r.g.batcher == nil {
 		return sends
 	}
-	zones := make(map[string][]fanout.Send)
-	var direct []fanout.Send
+	zones := make(map[string][]fanout.Request)
+	var direct []fanout.Request
 	for _, s := range sends {
 		zone := s.Call.Leaf.Zone
 		switch {
 		case zone == r.g.zone:
 			direct = append(direct, s)
-		case s.Reason == fanout.First:
+		case s.Reason == fanout.ReasonFirst:
 			zones[zone] = append(zones[zone], s)
-		case !r.sendBatch(zone, []fanout.Send{s}):
+		case !r.sendBatch(zone, []fanout.Request{s}):
 			direct = append(direct, s)
 		}
 	}
@@ -80,7 +80,7 @@
 }
 
 // sendBatch reports whether a peer took the requests.
-func (r *gathering) sendBatch(zone string, sends []fanout.Send) bool {
+func (r *gathering) sendBatch(zone string, sends []fanout.Request) bool {
 	typical := float64(r.g.table.Typical(r.route.Name))
 	b := Batch{
 		Request: r.req, Route: r.route, Zone: zone, Deadline: sends[0].Deadline,
@@ -97,7 +97,7 @@
 }
 
 // batchReplied takes over replies that belong together.
-func (r *gathering) batchReplied(sends []fanout.Send, calls []LeafCall, replies []BatchReply) {
+func (r *gathering) batchReplied(sends []fanout.Request, calls []LeafCall, replies []BatchReply) {
 	group := make([]arrival, 0, len(replies))
 	now := time.Now()
 	successes := 0
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -136,7 +136,7 @@
 	Reply *LeafReply
 	// Lack says why there is no part, and Last what the last leaf that failed
 	// said; nil: none did.
-	Lack fanout.Lack
+	Lack fanout.ShardStatus
 	Last *LeafReply
 }
 
@@ -256,7 +256,7 @@
 		return g.refuse(req, route, errcode.EntryOverloaded, g.opts.Load().RetryAfter)
 	}
 	defer g.inFlight.Add(-1)
-	if left := g.quarantine.Left(req.Key, time.Now()); left > 0 {
+	if left := g.quarantine.Remaining(req.Key, time.Now()); left > 0 {
 		return g.refuseQuarantined(req, route, left)
 	}
 	end := g.deadline(req, route)
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -44,8 +44,8 @@
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 5, Burst: 20, Buffer: 64})
 	opts := Options{
 		Fanout: fanout.Options{
-			AnswerMargin: 5 * time.Millisecond, PartialAnswers: true, HedgeAtTypical: 2.5,
-			HedgeAtTarget: 0.25, HedgeLeast: 15 * time.Millisecond, UsefulTarget: 1, LeastChance: 0.25,
+			AnswerMargin: 5 * time.Millisecond, PartialAnswers: true, HedgeTypicalFactor: 2.5,
+			HedgeTargetFraction: 0.25, MinHedgeDelay: 15 * time.Millisecond, RequestDeadlineFactor: 1, MinAdmitProbability: 0.25,
 		},
 		MaxInFlight: 100, Workers: 10000, DefaultPatience: 2 * time.Second,
 		AnswerMargin: 5 * time.Millisecond, RetryAfter: 300 * time.Millisecond,
--- a/pkg/gateway/gather.go
+++ b/pkg/gateway/gather.go
@@ -55,10 +55,10 @@
 		return g.refuseQuarantined(req, route, admission.RetryAfter)
 	}
 	trial := admission.Verdict == quarantine.Suspect
-	query := fanout.New(g.table, route, g.opts.Load().Fanout, fanout.Timing{
-		Start: req.sent(route.TargetLatency), HardEnd: end,
-		Returned: g.patience.Returned(route.Name, req.Patience),
-		Suspect:  trial, SuspectOf: admission.Service,
+	query := fanout.New(g.table, route, g.opts.Load().Fanout, fanout.Params{
+		Start: req.sent(route.TargetLatency), Deadline: end,
+		CallerRetried: g.patience.Returned(route.Name, req.Patience),
+		Suspect:       trial, SuspectService: admission.Service,
 	})
 	sends, refusal := query.Start(time.Now())
 	if refusal != nil {
@@ -72,13 +72,13 @@
 	calls, endAll := context.WithCancel(context.WithoutCancel(ctx))
 	run := &gathering{
 		g: g, caller: ctx, calls: calls, endAll: endAll, req: req, route: route, query: query, trial: trial,
-		replies: make(chan []arrival, len(route.Shards)*fanout.MaxAttempts),
+		replies: make(chan []arrival, len(route.Shards)*fanout.MaxRequestsPerShard),
 		shards:  make([]ShardAnswer, len(route.Shards)),
 	}
 	if g.opts.Load().EndLosers {
 		run.losers = make([]context.CancelFunc, len(route.Shards))
 	}
-	if query.Held(time.Now()) > 0 {
+	if query.HeldFor(time.Now()) > 0 {
 		g.log.Decision("query_held", req.about(route.Name, oplog.Fields{"config_version": g.version()}))
 	}
 	if trial {
@@ -93,10 +93,10 @@
 // endTrial takes over that a trial brought no outcome.
 func (r *gathering) endTrial() {
 	switch {
-	case !r.trial || !r.query.Trying():
+	case !r.trial || !r.query.InTrial():
 	case r.query.InFlight():
 		r.g.trialEnded(r.req, quarantine.Unresolved)
-	case !r.query.Ran():
+	case !r.query.MayHaveRun():
 		r.g.trialEnded(r.req, quarantine.Unsent)
 	}
 }
@@ -111,7 +111,7 @@
 	g.log.Decision("query_refused", req.about(route.Name, oplog.Fields{
 		"code": code.String(), "reason": code.Name(),
 		"shards": len(route.Shards), "shards_unreachable": r.Unreachable, "shards_late": r.Late, "shards_busy": r.Busy,
-		"risk": r.Risk, "may_miss": r.Spare, "chance": r.Chance,
+		"risk": r.ExpectedMisses, "may_miss": r.AllowedMisses, "chance": r.SuccessProbability,
 		"retry_after_ms": r.RetryAfter.Milliseconds(), "config_version": g.version(),
 	}))
 	return Answer{Code: code, RetryAfter: r.RetryAfter}
@@ -123,15 +123,15 @@
 	g.stats.refused(code)
 	g.log.Decision("query_refused", req.about(route.Name, oplog.Fields{
 		"code": code.String(), "reason": code.Name(), "held_ms": held.Milliseconds(),
-		"retry_after_ms": fanout.RetryLate.Milliseconds(), "config_version": g.version(),
+		"retry_after_ms": fanout.OverloadRetryAfter.Milliseconds(), "config_version": g.version(),
 	}))
-	return Answer{Code: code, RetryAfter: fanout.RetryLate}
+	return Answer{Code: code, RetryAfter: fanout.OverloadRetryAfter}
 }
 
 // send starts the leaf calls that the query asks for.
-func (r *gathering) send(sends []fanout.Send) {
+func (r *gathering) send(sends []fanout.Request) {
 	for _, s := range sends {
-		if s.Reason != fanout.First && s.Reason != fanout.Trial {
+		if s.Reason != fanout.ReasonFirst && s.Reason != fanout.ReasonTrial {
 			r.g.noteSecond(r.route, r.call(s), s.Reason.String())
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // call is the leaf call that a send asks for.
-func (r *gathering) call(s fanout.Send) LeafCall {
+func (r *gathering) call(s fanout.Request) LeafCall {
 	return LeafCall{Leaf: s.Call.Leaf, Service: r.route.Shards[s.Shard], Request: r.req, Deadline: s.Deadline}
 }
 
@@ -184,7 +184,7 @@
 		if state := r.query.State(now); state != fanout.Running {
 			return r.answer(state)
 		}
-		due := r.query.Next(now)
+		due := r.query.NextCheck(now)
 		if waited {
 			due = now.Add(repliesGrace)
 		}
@@ -202,7 +202,7 @@
 			r.send(r.query.Tick(time.Now()))
 		case <-r.caller.Done():
 			r.withdraw()
-			r.g.stats.overAttempts(r.query.OverAttempts())
+			r.g.stats.overAttempts(r.query.ShardsOverAttempts())
 			r.logAsked()
 			return r.g.callerLeft(r.req, r.route)
 		}
@@ -256,10 +256,10 @@
 			r.losers[a.shard]()
 		}
 	}
-	if r.query.Trying() {
+	if r.query.InTrial() {
 		r.g.trialEnded(r.req, trialOf(a.reply.Outcome))
 	}
-	r.send(r.query.Reply(a.shard, a.attempt, a.reply.Outcome, time.Now()))
+	r.send(r.query.HandleReply(a.shard, a.attempt, a.reply.Outcome, time.Now()))
 }
 
 // answer builds the answer of a query that has ended.
@@ -271,7 +271,7 @@
 	if r.query.GivenUp() {
 		r.withdraw()
 	}
-	r.g.stats.overAttempts(r.query.OverAttempts())
+	r.g.stats.overAttempts(r.query.ShardsOverAttempts())
 	if r.req.TakenBack {
 		r.logAsked()
 	}
@@ -286,14 +286,14 @@
 // lacks notes why shards without a part have none.
 func lacks(query *fanout.Query, shards []ShardAnswer) []ShardAnswer {
 	for i := range shards {
-		shards[i].Lack = query.Lack(i)
+		shards[i].Lack = query.ShardStatus(i)
 	}
 	return shards
 }
 
 // fail answers a query that covers too few shards.
 func (r *gathering) fail(state fanout.State) Answer {
-	if held := r.query.Held(time.Now()); held > 0 {
+	if held := r.query.HeldFor(time.Now()); held > 0 {
 		return r.g.refuseHeld(r.req, r.route, held)
 	}
 	a := Answer{Code: errcode.RequestTimeout}
@@ -301,9 +301,9 @@
 		r.logGivenUp(time.Now())
 	}
 	switch {
-	case r.query.GivenUp() && (r.query.Ran() || r.query.InFlight()):
+	case r.query.GivenUp() && (r.query.MayHaveRun() || r.query.InFlight()):
 		a.Code = errcode.LeafsEnded
-	case !r.query.Ran() && !r.query.InFlight():
+	case !r.query.MayHaveRun() && !r.query.InFlight():
 		// What is in flight may still run: its caller must not be told that nothing did.
 		a.Code = errcode.ShardsUnavailable
 		a.RetryAfter = r.g.opts.Load().RetryAfter
--- a/pkg/gateway/gatherlog.go
+++ b/pkg/gateway/gatherlog.go
@@ -13,7 +13,7 @@
 func (r *gathering) logAsked() {
 	asked := make(map[string][]string)
 	for i, service := range r.route.Shards {
-		if leafs := r.query.Asked(i); len(leafs) > 0 {
+		if leafs := r.query.AskedLeafs(i); len(leafs) > 0 {
 			asked[service] = leafs
 		}
 	}
@@ -26,13 +26,13 @@
 func (r *gathering) logLeftOut(event string, code errcode.Code) {
 	left := make(map[string]string)
 	for i, service := range r.route.Shards {
-		if lack := r.query.Lack(i); lack != fanout.Covered {
+		if lack := r.query.ShardStatus(i); lack != fanout.Covered {
 			left[service] = lack.String()
 		}
 	}
 	r.g.log.Decision(event, r.req.about(r.route.Name, oplog.Fields{
 		"code":    code.String(),
-		"covered": r.query.Covered(), "needed": r.query.Need(), "shards": len(r.route.Shards),
+		"covered": r.query.CoveredShards(), "needed": r.query.RequiredShards(), "shards": len(r.route.Shards),
 		"missing": left, "after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
 	}))
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -33,12 +33,12 @@
 // leafEnded takes over that a leaf ended while it had a request.
 func (g *Gateway) leafEnded(call LeafCall, entry *replica.Call, now time.Time) {
 	req := call.Request
-	g.noteTurn(req.ID, g.quarantine.Ended(req.Key, req.ID, call.Leaf.ID, call.Service, entry.Began(), now))
+	g.noteTurn(req.ID, g.quarantine.RecordLeafEnd(req.Key, req.ID, call.Leaf.ID, call.Service, entry.Began(), now))
 }
 
 // trialEnded takes over how the trial of a suspect ended.
-func (g *Gateway) trialEnded(req *Request, trial quarantine.Trial) {
-	g.noteTurn(req.ID, g.quarantine.TrialEnded(req.Key, trial, time.Now()))
+func (g *Gateway) trialEnded(req *Request, trial quarantine.TrialOutcome) {
+	g.noteTurn(req.ID, g.quarantine.RecordTrial(req.Key, trial, time.Now()))
 }
 
 // trialOf is how a trial ended whose one leaf call had this outcome.
@@ -46,7 +46,7 @@
 // A connection that only broke off counts as the end of its leaf here: on a machine short of
 // processor time the question whether anything listens is answered too late, and a request that
 // ends leafs would be tried again and again.
-func trialOf(outcome replica.Outcome) quarantine.Trial {
+func trialOf(outcome replica.Outcome) quarantine.TrialOutcome {
 	switch {
 	case outcome == replica.Answered:
 		return quarantine.Answered
@@ -64,7 +64,7 @@
 }
 
 // noteTurn records that a request is believed otherwise than before.
-func (g *Gateway) noteTurn(request string, turn quarantine.Turn) {
+func (g *Gateway) noteTurn(request string, turn quarantine.VerdictChange) {
 	if turn.Changed() {
 		fields := turn.Fields()
 		fields["request"] = request
@@ -76,14 +76,14 @@
 // and here no leaf has answered it. One that still waits for room has not begun, and is not
 // begun as a suspect.
 func (r *gathering) harmful(now time.Time) bool {
-	if r.query.Covered() > 0 {
+	if r.query.CoveredShards() > 0 {
 		return false
 	}
 	switch r.g.quarantine.Verdict(r.req.Key, now) {
 	case quarantine.Quarantined:
 		return true
 	case quarantine.Suspect:
-		return r.query.Held(now) > 0
+		return r.query.HeldFor(now) > 0
 	}
 	return false
 }
@@ -99,7 +99,7 @@
 // logGivenUp records that a query was given up for the leafs' sake.
 func (r *gathering) logGivenUp(now time.Time) {
 	r.g.log.Decision("query_given_up", r.req.about(r.route.Name, oplog.Fields{
-		"leafs_ended": r.query.LeafsEnded(), "covered": r.query.Covered(), "trial": r.trial,
+		"leafs_ended": r.query.LeafsEnded(), "covered": r.query.CoveredShards(), "trial": r.trial,
 		"verdict":  r.g.quarantine.Verdict(r.req.Key, now).String(),
 		"after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
 	}))
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -98,7 +98,7 @@
 	for _, path := range []string{"/all/x", "/one/x", "/hold/x"} {
 		g := newGateway(t, 20, answered)
 		for _, leaf := range []string{"a", "b", "c"} {
-			g.quarantine.Ended(quarantine.KeyOf(path), "earlier", leaf, "s3", time.Now(), time.Now())
+			g.quarantine.RecordLeafEnd(quarantine.KeyOf(path), "earlier", leaf, "s3", time.Now(), time.Now())
 		}
 		a := attempt(g, path)
 		require.Equal(t, errcode.OK, a.Code)
@@ -123,7 +123,7 @@
 			})
 			key := quarantine.KeyOf("/all/deadly")
 			if told {
-				go g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
+				go g.quarantine.Merge(quarantine.Report{Key: key, EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 			}
 			require.Contains(t, []errcode.Code{errcode.LeafsEnded, errcode.Quarantined}, attempt(g, "/all/deadly").Code)
 			want := int64(17)
@@ -140,7 +140,7 @@
 	var calls atomic.Int64
 	g := newGateway(t, 20, deadlyLeafs(&calls))
 	key := quarantine.KeyOf("/all/deadly")
-	g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
+	g.quarantine.Merge(quarantine.Report{Key: key, EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 	a, ok := g.Gather(t.Context(), &Request{ID: "r", Key: key, Host: "h", Path: "/all/deadly", Arrived: time.Now(), Patience: time.Minute}, g.version(), func() bool { return true })
 	require.True(t, ok, "declined, the other instance would run it")
 	require.Equal(t, errcode.Quarantined, a.Code)
@@ -158,7 +158,7 @@
 	})
 	key := quarantine.KeyOf("/all/x")
 	for _, leaf := range []string{"a", "b", "c"} {
-		g.quarantine.Ended(key, "earlier", leaf, "s3", time.Now(), time.Now())
+		g.quarantine.RecordLeafEnd(key, "earlier", leaf, "s3", time.Now(), time.Now())
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, leave)
@@ -175,7 +175,7 @@
 	g = newGateway(t, 20, func(ctx context.Context, call LeafCall) LeafReply {
 		if call.Service == "s0" {
 			time.Sleep(30 * time.Millisecond)
-			g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
+			g.quarantine.Merge(quarantine.Report{Key: key, EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 		}
 		return answered(ctx, call)
 	})
@@ -189,7 +189,7 @@
 	route := &routing.Route{Name: "none", Kind: routing.Repeatable, MaxAttempts: 2}
 	key := quarantine.KeyOf("none")
 	for _, leaf := range []string{"a", "b", "c"} {
-		g.quarantine.Ended(key, "earlier", leaf, "one", time.Now(), time.Now())
+		g.quarantine.RecordLeafEnd(key, "earlier", leaf, "one", time.Now(), time.Now())
 	}
 	a := g.Serve(t.Context(), &Request{ID: "r", Key: key, Arrived: time.Now()}, route)
 	require.Equal(t, errcode.ShardsUnavailable, a.Code)
@@ -203,9 +203,9 @@
 		g := newGateway(t, 20, func(context.Context, LeafCall) LeafReply { return LeafReply{Outcome: outcome} })
 		key := quarantine.KeyOf("/all/x")
 		for _, leaf := range []string{"a", "b", "c"} {
-			g.quarantine.Ended(key, "earlier", leaf, "s3", time.Now(), time.Now())
+			g.quarantine.RecordLeafEnd(key, "earlier", leaf, "s3", time.Now(), time.Now())
 		}
 		attempt(g, "/all/x")
-		require.Greater(t, g.quarantine.Left(key, time.Now()), 9*time.Second, outcome.String())
+		require.Greater(t, g.quarantine.Remaining(key, time.Now()), 9*time.Second, outcome.String())
 	}
 }
--- a/pkg/gateway/tick.go
+++ b/pkg/gateway/tick.go
@@ -86,7 +86,7 @@
 	lacking := false
 	c.Routes(func(r *routing.Route) bool {
 		if r.Kind == routing.Gather {
-			need := fanout.Need(len(r.Shards), r.MinShare)
+			need := fanout.RequiredShards(len(r.Shards), r.MinShare)
 			servable, reachable := g.table.Servable(r.Shards)
 			// Shards that no instance may ask do not isolate this one.
 			lacking = reachable < need && servable >= need
--- a/pkg/longpoll/longpoll.go
+++ b/pkg/longpoll/longpoll.go
@@ -15,42 +15,42 @@
 type Options struct {
 	// Wait is how long a call waits for a change at most.
 	Wait time.Duration
-	// Look is how long a call waits that is to tell at once whether the service answers.
-	Look time.Duration
-	// Pause follows a call that brought changes: those in quick succession come together.
-	Pause time.Duration
-	// Proof is how old what is known may be until the service is to have answered again; zero: as
+	// ProbeWait is how long a call waits that is to tell at once whether the service answers.
+	ProbeWait time.Duration
+	// CoalesceDelay follows a call that brought changes: those in quick succession come together.
+	CoalesceDelay time.Duration
+	// FreshnessInterval is how old what is known may be until the service is to have answered again; zero: as
 	// old as the wait and the timeout of a call allow.
-	Proof time.Duration
-	// Slack is how much later than that an answer may come, and Spread bounds a random time on top:
+	FreshnessInterval time.Duration
+	// FreshnessSlack is how much later than that an answer may come, and Spread bounds a random time on top:
 	// of several instances that hear of each other's answers, few give up their calls.
-	Slack, Spread time.Duration
-	// TimeoutFirst bounds a call beyond its wait, TimeoutMost one that follows a failed one: a
+	FreshnessSlack, Jitter time.Duration
+	// Timeout bounds a call beyond its wait, TimeoutMost one that follows a failed one: a
 	// service that has become slow is to be reached.
-	TimeoutFirst, TimeoutMost time.Duration
-	// RetryFirst and RetryMost bound the growing time from one failed call to the next.
-	RetryFirst, RetryMost time.Duration
+	Timeout, RetryTimeout time.Duration
+	// MinBackoff and RetryMost bound the growing time from one failed call to the next.
+	MinBackoff, MaxBackoff time.Duration
 }
 
-// Bound is how late a change is known at most, counted from its publication or from the service's
+// MaxPropagationDelay is how late a change is known at most, counted from its publication or from the service's
 // return after an outage, whichever is later, with one call unanswered at any moment. answer is how
 // long the service takes for an answer.
-func (o Options) Bound(answer time.Duration) time.Duration {
-	stale := o.Wait + o.TimeoutFirst + o.RetryFirst
-	if o.Proof > 0 {
-		stale = max(o.Proof, o.Pause) + o.Slack + o.Spread
+func (o Options) MaxPropagationDelay(answer time.Duration) time.Duration {
+	stale := o.Wait + o.Timeout + o.MinBackoff
+	if o.FreshnessInterval > 0 {
+		stale = max(o.FreshnessInterval, o.CoalesceDelay) + o.FreshnessSlack + o.Jitter
 	}
 	// The call that was made just before the service came back.
-	hung := o.Look + o.TimeoutMost + o.RetryFirst
-	return max(stale, hung, o.RetryMost) + answer
+	hung := o.ProbeWait + o.RetryTimeout + o.MinBackoff
+	return max(stale, hung, o.MaxBackoff) + answer
 }
 
 // Call is how the next call is made.
 type Call struct {
 	// Wait is how long it waits for a change, Timeout bounds it beyond that.
 	Wait, Timeout time.Duration
-	// Stale is the age of what is known at which it is given up; zero: at none.
-	Stale time.Duration
+	// MaxAge is the age of what is known at which it is given up; zero: at none.
+	MaxAge time.Duration
 }
 
 // Pacer paces the calls of one instance. It is not safe for concurrent use.
@@ -70,38 +70,38 @@
 // New returns the pacer of an instance that has made no call yet.
 func New(opts Options, random func() float64) *Pacer { return &Pacer{opts: opts, random: random} }
 
-// Group is what an instance knows of the others that follow the service too.
-type Group struct {
-	// Heard is how many of them tell this one when the service has answered them.
-	Heard int
-	// Place is this one's place among all of them, greater than 0 and at most 1.
-	Place float64
+// PeerGroup is what an instance knows of the others that follow the service too.
+type PeerGroup struct {
+	// Reporting is how many of them tell this one when the service has answered them.
+	Reporting int
+	// RelativeRank is this one's place among all of them, greater than 0 and at most 1.
+	RelativeRank float64
 }
 
-// Next is how the next call is made, given the age of what is known.
+// NextCall is how the next call is made, given the age of what is known.
 //
 // The more others there are, the longer a call may wait: each answer proves what is known to all.
 // One change wakes all of them; the wait after it goes by the place of each, so that they do not go
 // on in step and lose all their calls to the same moment.
-func (p *Pacer) Next(age time.Duration, group Group) Call {
+func (p *Pacer) NextCall(age time.Duration, group PeerGroup) Call {
 	o := p.opts
 	wait := o.Wait
-	if o.Proof > 0 {
-		wait = min(wait, time.Duration(1+group.Heard)*o.Proof-age)
+	if o.FreshnessInterval > 0 {
+		wait = min(wait, time.Duration(1+group.Reporting)*o.FreshnessInterval-age)
 	}
-	if p.look || wait <= o.Look || (o.Proof > 0 && age >= o.Proof+o.Slack) {
-		return Call{Wait: o.Look, Timeout: p.timeout()}
+	if p.look || wait <= o.ProbeWait || (o.FreshnessInterval > 0 && age >= o.FreshnessInterval+o.FreshnessSlack) {
+		return Call{Wait: o.ProbeWait, Timeout: p.timeout()}
 	}
 	switch {
 	case p.inStep:
-		wait = o.Look + time.Duration(group.Place*float64(wait-o.Look))
+		wait = o.ProbeWait + time.Duration(group.RelativeRank*float64(wait-o.ProbeWait))
 	case p.bunched:
-		wait -= min(wait, o.Proof) / 2
+		wait -= min(wait, o.FreshnessInterval) / 2
 	}
 	p.inStep, p.bunched = false, false
 	c := Call{Wait: wait, Timeout: p.timeout()}
-	if o.Proof > 0 {
-		c.Stale = o.Proof + o.Slack + p.part(o.Spread)
+	if o.FreshnessInterval > 0 {
+		c.MaxAge = o.FreshnessInterval + o.FreshnessSlack + p.part(o.Jitter)
 	}
 	return c
 }
@@ -109,9 +109,9 @@
 // timeout bounds the next call beyond its wait.
 func (p *Pacer) timeout() time.Duration {
 	if p.failed > 0 {
-		return p.opts.TimeoutMost
+		return p.opts.RetryTimeout
 	}
-	return p.opts.TimeoutFirst
+	return p.opts.Timeout
 }
 
 // part is a random part of a time.
@@ -119,29 +119,29 @@
 	return time.Duration(p.random() * float64(of))
 }
 
-// Answered notes a call that was answered, with changes or without, and returns how long to pause.
+// RecordAnswer notes a call that was answered, with changes or without, and returns how long to pause.
 // more: there are changes left that did not fit into the answer.
-func (p *Pacer) Answered(changes, more bool) time.Duration {
+func (p *Pacer) RecordAnswer(changes, more bool) time.Duration {
 	p.bunched = p.look && p.failed == 0
 	p.inStep = p.inStep || p.failed > 0 || changes
 	p.look, p.failed, p.retry = false, 0, 0
 	if !changes || more {
 		return 0
 	}
-	return p.opts.Pause
+	return p.opts.CoalesceDelay
 }
 
-// GaveUp notes a call that was given up because what is known had become too old.
-func (p *Pacer) GaveUp() { p.look = true }
+// RecordAbandoned notes a call that was given up because what is known had become too old.
+func (p *Pacer) RecordAbandoned() { p.look = true }
 
-// Failed notes a call that failed after some time and returns how long to pause.
-func (p *Pacer) Failed(took time.Duration) time.Duration {
+// RecordFailure notes a call that failed after some time and returns how long to pause.
+func (p *Pacer) RecordFailure(took time.Duration) time.Duration {
 	p.look = true
 	p.failed++
-	p.retry = min(max(2*p.retry, p.opts.RetryFirst), p.opts.RetryMost)
-	pause := max(p.retry-took, p.opts.RetryFirst)
+	p.retry = min(max(2*p.retry, p.opts.MinBackoff), p.opts.MaxBackoff)
+	pause := max(p.retry-took, p.opts.MinBackoff)
 	return pause/2 + p.part(pause/2)
 }
 
-// Attempts is how many calls have failed in a row.
-func (p *Pacer) Attempts() int { return p.failed }
+// ConsecutiveFailures is how many calls have failed in a row.
+func (p *Pacer) ConsecutiveFailures() int { return p.failed }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -88,7 +88,7 @@
 	if n.gateway, err = gateway.New(gatewayOptions(set), n.table, n.leafs, n.log, gateway.NewStats(n.metrics)); err != nil {
 		return nil, err
 	}
-	n.gateway.Quarantine().SetMost(settings.Duration(set.Limits.QuarantineMostMs), time.Now())
+	n.gateway.Quarantine().SetMaxDuration(settings.Duration(set.Limits.QuarantineMostMs), time.Now())
 	n.follower = discovery.NewFollower(adapter.Source(set.Store.Address, n.log), n, storeOptions(set), n.log)
 	gaps := n.metrics.NewHistogram("node_store_proof_gap_seconds")
 	n.follower.OnProof(func(gap time.Duration) { gaps.Update(gap.Seconds()) })
@@ -130,9 +130,9 @@
 	return gateway.Options{
 		Fanout: fanout.Options{
 			AnswerMargin: margin, PartialAnswers: set.Answer.Partial,
-			HedgeAtTypical: set.Second.HedgeAtTypical, HedgeAtTarget: set.Second.HedgeAtTarget,
-			HedgeLeast:   settings.Duration(set.Second.HedgeLeastMs),
-			UsefulTarget: set.Answer.UsefulTarget, LeastChance: set.Answer.LeastChance, LateWait: set.Answer.LateWait, HeldChance: set.Answer.HeldChance, HeldWait: set.Answer.HeldWait,
+			HedgeTypicalFactor: set.Second.HedgeAtTypical, HedgeTargetFraction: set.Second.HedgeAtTarget,
+			MinHedgeDelay:         settings.Duration(set.Second.HedgeLeastMs),
+			RequestDeadlineFactor: set.Answer.UsefulTarget, MinAdmitProbability: set.Answer.LeastChance, LateWaitFraction: set.Answer.LateWait, MinReleaseProbability: set.Answer.HeldChance, HeldWaitFraction: set.Answer.HeldWait,
 		},
 		MaxInFlight: set.Limits.MaxInFlight, Workers: set.Limits.Workers,
 		DefaultPatience: settings.Duration(set.Answer.DefaultPatienceMs),
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -59,7 +59,7 @@
 		n.follower.OnChange(server.Changed)
 		server.Feed(n.follower, func() bool { return n.gateway.Isolated(time.Now()) })
 		agent.Listen(n.follower, feed.Options{Fresh: set.WatchWait() + newsLate, StartWait: set.StartWait()}, set.Peers.FirstStart)
-		n.follower.SetReading(false, longpoll.Group{}) // Until the agent has decided.
+		n.follower.SetReading(false, longpoll.PeerGroup{}) // Until the agent has decided.
 	}
 	return &peering{agent: agent, server: server}, nil
 }
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -437,7 +437,7 @@
 	i.ctx, i.stop = context.WithCancel(f.ctx)
 	i.follower = discovery.NewFollower(i, i, storeOptions(f.set), log)
 	i.follower.OnChange(i.wake)
-	i.follower.SetReading(true, longpoll.Group{Heard: len(f.sources[n]), Place: float64(n+1) / float64(len(f.sources))})
+	i.follower.SetReading(true, longpoll.PeerGroup{Reporting: len(f.sources[n]), RelativeRank: float64(n+1) / float64(len(f.sources))})
 	f.instances[n] = i
 	f.running.Go(func() { i.follower.Run(i.ctx) })
 	f.running.Go(func() { sweepSim(i) })
--- a/pkg/peers/ask.go
+++ b/pkg/peers/ask.go
@@ -300,7 +300,7 @@
 	a.Shards = make([]gateway.ShardAnswer, len(f.Lacks))
 	proofs, body := f.Proofs, f.Body
 	for i, lack := range f.Lacks {
-		a.Shards[i].Lack = fanout.Lack(lack)
+		a.Shards[i].Lack = fanout.ShardStatus(lack)
 		if a.Shards[i].Lack != fanout.Covered || a.Code != errcode.OK {
 			continue
 		}
@@ -317,7 +317,7 @@
 }
 
 // unknownLack reports whether a reason is none that this instance knows.
-func unknownLack(lack byte) bool { return !fanout.Lack(lack).Known() }
+func unknownLack(lack byte) bool { return !fanout.ShardStatus(lack).Known() }
 
 // micros is a number of microseconds as a duration.
 func micros(n uint64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/pkg/peers/batches.go
+++ b/pkg/peers/batches.go
@@ -120,7 +120,7 @@
 		return errEvacuated
 	case s.table.Guarded(leaf.ID, now):
 		return errCold
-	case s.quarantine != nil && s.quarantine.Left(w.req.Key, now) > 0:
+	case s.quarantine != nil && s.quarantine.Remaining(w.req.Key, now) > 0:
 		return errQuarantined
 	}
 	return nil
--- a/pkg/peers/datagrams.go
+++ b/pkg/peers/datagrams.go
@@ -17,7 +17,7 @@
 type packet struct {
 	membership.Message
 	// Requests are those that end leafs.
-	Requests []quarantine.Note `cbor:"20,keyasint,omitempty"`
+	Requests []quarantine.Report `cbor:"20,keyasint,omitempty"`
 }
 
 const (
@@ -78,13 +78,13 @@
 }
 
 // learn takes over what another instance says of requests that end leafs.
-func (p *Peers) learn(notes []quarantine.Note, from string) {
+func (p *Peers) learn(notes []quarantine.Report, from string) {
 	if p.quarantine == nil {
 		return
 	}
 	now := time.Now()
 	for _, note := range notes[:min(len(notes), told)] {
-		turn := p.quarantine.Learn(note, now)
+		turn := p.quarantine.Merge(note, now)
 		if turn.Changed() {
 			fields := turn.Fields()
 			fields["peer"] = from
@@ -99,7 +99,7 @@
 	if p.quarantine == nil {
 		return
 	}
-	notes := p.quarantine.Changes(told, now)
+	notes := p.quarantine.PendingReports(told, now)
 	if len(notes) == 0 {
 		return
 	}
@@ -116,7 +116,7 @@
 	for _, e := range out {
 		m := packet{Message: e.Message}
 		if p.quarantine != nil && e.Message.Kind != membership.List {
-			m.Requests = p.quarantine.Some(carried, time.Now())
+			m.Requests = p.quarantine.AntiEntropyReports(carried, time.Now())
 		}
 		p.send(e.To, m)
 	}
--- a/pkg/peers/feeder.go
+++ b/pkg/peers/feeder.go
@@ -35,7 +35,7 @@
 	Contradicted(store feed.Position, at time.Time) bool
 	// SetReading says whether this instance is to read the store itself, and what it knows of the
 	// others that do.
-	SetReading(reading bool, group longpoll.Group)
+	SetReading(reading bool, group longpoll.PeerGroup)
 }
 
 // listen asks a peer for what the store publishes after a position.
--- a/pkg/peers/feeds.go
+++ b/pkg/peers/feeds.go
@@ -73,11 +73,11 @@
 
 // group is what this instance knows of the others that read the store, given to whom it listens;
 // mu is held.
-func (p *Peers) group(listened []string, now time.Time) longpoll.Group {
-	g := longpoll.Group{Place: p.roles.place}
+func (p *Peers) group(listened []string, now time.Time) longpoll.PeerGroup {
+	g := longpoll.PeerGroup{RelativeRank: p.roles.place}
 	for _, name := range listened {
 		if now.Sub(p.feeds.answered(name, now)) <= p.feeds.fresh {
-			g.Heard++
+			g.Reporting++
 		}
 	}
 	return g
--- a/pkg/peers/feeds_test.go
+++ b/pkg/peers/feeds_test.go
@@ -27,7 +27,7 @@
 	proven    time.Time
 	answered  time.Time
 	confirmed time.Time
-	group     longpoll.Group
+	group     longpoll.PeerGroup
 	reading   bool
 	refused   int
 	// contradicted is how many peers have said where the store was.
@@ -54,7 +54,7 @@
 func (m *memory) Confirmed(at time.Time) {
 	locked(m, func() bool { m.confirmed = at; return true })
 }
-func (m *memory) SetReading(r bool, group longpoll.Group) {
+func (m *memory) SetReading(r bool, group longpoll.PeerGroup) {
 	locked(m, func() bool { m.reading, m.group = r, group; return true })
 }
 func (m *memory) Contradicted(feed.Position, time.Time) bool {
@@ -333,12 +333,12 @@
 	require.Equal(t, []string{"b-a", "b-b"}, b.agent.follow(now))
 	locked(b.here, func() bool { b.here.book.Take(feed.Page{Full: true, To: at(1)}); return true })
 	require.Equal(t, []string{"b-a", "b-b", "far-a", "far-b"}, b.agent.follow(now))
-	require.Equal(t, longpoll.Group{Place: 0.5}, b.here.group)
+	require.Equal(t, longpoll.PeerGroup{RelativeRank: 0.5}, b.here.group)
 	b.agent.feeds.heard["b-a"] = heard{answeredAt: now, at: now}
 	b.agent.feeds.heard["far-b"] = heard{answeredAt: now, at: now}
 	b.agent.feeds.heard["far-a"] = heard{answeredAt: now.Add(-time.Minute), at: now}
 	b.agent.follow(now)
-	require.Equal(t, longpoll.Group{Heard: 2, Place: 0.5}, b.here.group)
+	require.Equal(t, longpoll.PeerGroup{Reporting: 2, RelativeRank: 0.5}, b.here.group)
 	b.agent.roles.behind = nil
 	require.Equal(t, "a-a", b.agent.follow(now)[0], "the last one goes on with the first")
 }
--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -19,7 +19,7 @@
 	table := quarantine.NewTable()
 	b.server.Heed(table)
 	m := message(time.Second, leafs("a", "b"))
-	table.Learn(quarantine.Note{Key: textCodec{}.Key(m.Request.Content), Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
+	table.Merge(quarantine.Report{Key: textCodec{}.Key(m.Request.Content), EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 	got := make(sink, 4)
 	_, ok := b.conn.send(m, got.take)
 	require.True(t, ok)
--- a/pkg/peers/queries.go
+++ b/pkg/peers/queries.go
@@ -39,7 +39,7 @@
 	HeldUs       uint64
 	Code         uint16
 	RetryAfterUs uint64
-	// Lacks says of each shard why it has no part (fanout.Lack).
+	// Lacks says of each shard why it has no part (fanout.ShardStatus).
 	Lacks []byte
 	// Proofs are those of the covered shards in their order, and Body their records.
 	Proofs []string
--- a/pkg/quarantine/dump.go
+++ b/pkg/quarantine/dump.go
@@ -14,9 +14,9 @@
 	LeafsEnded int    `json:"leafs_ended"`
 	Service    string `json:"service"`
 	Trials     int    `json:"trials"`
-	// LeftMs is how much longer it is quarantined, QuietMs how long ago a leaf ended.
-	LeftMs  int64 `json:"left_ms"`
-	QuietMs int64 `json:"quiet_ms"`
+	// RemainingMs is how much longer it is quarantined, QuietMs how long ago a leaf ended.
+	RemainingMs    int64 `json:"left_ms"`
+	SinceLastEndMs int64 `json:"quiet_ms"`
 }
 
 // Dump lists the requests that are not sound.
@@ -28,11 +28,11 @@
 		if v := r.verdict(now); v != Sound {
 			out = append(out, State{
 				Content: k.String(), Verdict: v.String(), LeafsEnded: len(r.ends), Service: r.service, Trials: r.trials,
-				LeftMs: max(r.until.Sub(now), 0).Milliseconds(), QuietMs: now.Sub(r.touched).Milliseconds(),
+				RemainingMs: max(r.until.Sub(now), 0).Milliseconds(), SinceLastEndMs: now.Sub(r.touched).Milliseconds(),
 			})
 		}
 	}
-	slices.SortFunc(out, func(a, b State) int { return int(a.QuietMs - b.QuietMs) })
+	slices.SortFunc(out, func(a, b State) int { return int(a.SinceLastEndMs - b.SinceLastEndMs) })
 	return out
 }
 
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -31,7 +31,7 @@
 type parcel struct {
 	to    int
 	due   time.Time
-	notes []Note
+	notes []Report
 }
 
 // simRun is a request at the leafs of one instance.
@@ -86,7 +86,7 @@
 	return s.now.Before(s.cutUntil) && (a < s.cutMembers) != (b < s.cutMembers)
 }
 
-func (s *sim) send(from, to int, notes []Note) {
+func (s *sim) send(from, to int, notes []Report) {
 	if len(notes) == 0 || s.apart(from, to) {
 		return
 	}
@@ -101,7 +101,7 @@
 func (s *sim) gossip(elapsed time.Duration) {
 	for i, table := range s.tables {
 		if elapsed%simTell == 0 {
-			notes := table.Changes(12, s.now)
+			notes := table.PendingReports(12, s.now)
 			for j := range s.tables {
 				if j != i {
 					s.send(i, j, notes)
@@ -110,8 +110,8 @@
 		}
 		if elapsed%simTalk == 0 {
 			j := s.rng.IntN(len(s.tables))
-			s.send(i, j, table.Some(4, s.now))
-			s.send(j, i, s.tables[j].Some(4, s.now))
+			s.send(i, j, table.AntiEntropyReports(4, s.now))
+			s.send(j, i, s.tables[j].AntiEntropyReports(4, s.now))
 		}
 	}
 	s.air = slices.DeleteFunc(s.air, func(p parcel) bool {
@@ -119,7 +119,7 @@
 			return false
 		}
 		for _, n := range p.notes {
-			s.tables[p.to].Learn(n, s.now)
+			s.tables[p.to].Merge(n, s.now)
 		}
 		return true
 	})
@@ -181,7 +181,7 @@
 			s.third = s.now
 		}
 		if r.trial {
-			s.tables[r.instance].TrialEnded(deadly, LeafEnded, s.now)
+			s.tables[r.instance].RecordTrial(deadly, LeafEnded, s.now)
 		}
 	}
 	s.runs = left
@@ -190,7 +190,7 @@
 // tell lets an instance take over that a leaf ended.
 func (s *sim) tell(r simRun, k Key, leaf int) {
 	name := fmt.Sprint(leaf, "/", s.incarnations[leaf])
-	s.tables[r.instance].Ended(k, fmt.Sprint(r.attempt), name, "s", r.began, s.now)
+	s.tables[r.instance].RecordLeafEnd(k, fmt.Sprint(r.attempt), name, "s", r.began, s.now)
 }
 
 // soundDone takes over the outcome of a sound request.
@@ -206,7 +206,7 @@
 		s.served++
 	}
 	if r.trial {
-		s.tables[r.instance].TrialEnded(k, trial, s.now)
+		s.tables[r.instance].RecordTrial(k, trial, s.now)
 	}
 }
 
--- a/pkg/quarantine/notes.go
+++ b/pkg/quarantine/notes.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Note is what instances tell each other of a request. Times are ages and spans, since
+// Report is what instances tell each other of a request. Times are ages and spans, since
 // instances share no clock. Fields are numbered, so that an instance of another version reads
 // those that it knows.
-type Note struct {
+type Report struct {
 	Key Key `cbor:"1,keyasint" json:"key"`
-	// Ends name the ends of leafs under it; the last one was of Service, AgeMs ago.
-	Ends    []uint64 `cbor:"2,keyasint,omitempty" json:"ends,omitempty"`
+	// EndIDs name the ends of leafs under it; the last one was of Service, AgeMs ago.
+	EndIDs  []uint64 `cbor:"2,keyasint,omitempty" json:"ends,omitempty"`
 	Service string   `cbor:"3,keyasint,omitempty" json:"service,omitempty"`
 	AgeMs   uint32   `cbor:"4,keyasint,omitempty" json:"age_ms,omitempty"`
 	// Trials counts those that ended a leaf; it is quarantined for LeftMs more.
-	Trials uint8  `cbor:"5,keyasint,omitempty" json:"trials,omitempty"`
-	LeftMs uint32 `cbor:"6,keyasint,omitempty" json:"left_ms,omitempty"`
+	Trials      uint8  `cbor:"5,keyasint,omitempty" json:"trials,omitempty"`
+	RemainingMs uint32 `cbor:"6,keyasint,omitempty" json:"left_ms,omitempty"`
 	// Cleared: a leaf answered it, AgeMs ago.
 	Cleared bool `cbor:"7,keyasint,omitempty" json:"cleared,omitempty"`
 }
@@ -55,8 +55,8 @@
 	}
 }
 
-// Changes returns up to n changes that others are to be told, the gravest first.
-func (t *Table) Changes(n int, now time.Time) []Note {
+// PendingReports returns up to n changes that others are to be told, the gravest first.
+func (t *Table) PendingReports(n int, now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.told) == 0 {
@@ -69,7 +69,7 @@
 		return 0
 	}
 	slices.SortStableFunc(t.told, func(a, b pendingNote) int { return cmp.Compare(grave(b), grave(a)) })
-	var out []Note
+	var out []Report
 	for i := range t.told[:min(n, len(t.told))] {
 		p := &t.told[i]
 		p.left--
@@ -82,31 +82,31 @@
 }
 
 // note describes a change; mu is held.
-func (t *Table) note(p pendingNote, now time.Time) (Note, bool) {
+func (t *Table) note(p pendingNote, now time.Time) (Report, bool) {
 	if !p.clearedAt.IsZero() {
-		return Note{Key: p.key, Cleared: true, AgeMs: millis(now.Sub(p.clearedAt))}, true
+		return Report{Key: p.key, Cleared: true, AgeMs: millis(now.Sub(p.clearedAt))}, true
 	}
 	r := t.records[p.key]
 	if r == nil {
-		return Note{}, false
+		return Report{}, false
 	}
 	return r.note(p.key, now), true
 }
 
 // note is the record for others.
-func (r *record) note(k Key, now time.Time) Note {
-	return Note{
-		Key: k, Ends: slices.Clone(r.ends), Service: r.service[:min(len(r.service), serviceMost)], AgeMs: millis(now.Sub(r.touched)),
-		Trials: uint8(min(r.trials, len(quarantineFor))), LeftMs: millis(r.until.Sub(now)),
+func (r *record) note(k Key, now time.Time) Report {
+	return Report{
+		Key: k, EndIDs: slices.Clone(r.ends), Service: r.service[:min(len(r.service), serviceMost)], AgeMs: millis(now.Sub(r.touched)),
+		Trials: uint8(min(r.trials, len(quarantineFor))), RemainingMs: millis(r.until.Sub(now)),
 	}
 }
 
 // millis is a span as a note tells it.
 func millis(d time.Duration) uint32 { return uint32(max(d.Milliseconds(), 0)) }
 
-// Some returns up to n of the requests that are not sound, others each time: instances that
+// AntiEntropyReports returns up to n of the requests that are not sound, others each time: instances that
 // have started or were cut off since learn of them.
-func (t *Table) Some(n int, now time.Time) []Note {
+func (t *Table) AntiEntropyReports(n int, now time.Time) []Report {
 	if t.size.Load() == 0 {
 		return nil
 	}
@@ -114,7 +114,7 @@
 	defer t.mu.Unlock()
 	keys := slices.SortedFunc(maps.Keys(t.records), func(a, b Key) int { return bytes.Compare(a[:], b[:]) })
 	start, _ := slices.BinarySearchFunc(keys, t.cursor, func(a, b Key) int { return bytes.Compare(a[:], b[:]) })
-	var out []Note
+	var out []Report
 	for i := range keys {
 		k := keys[(start+i)%len(keys)]
 		if len(out) == n {
@@ -128,12 +128,12 @@
 	return out
 }
 
-// Learn takes over what another instance says, and returns what it changed. What two have
+// Merge takes over what another instance says, and returns what it changed. What two have
 // seen of a request adds up.
-func (t *Table) Learn(n Note, now time.Time) Turn {
+func (t *Table) Merge(n Report, now time.Time) VerdictChange {
 	touched := now.Add(-time.Duration(n.AgeMs) * time.Millisecond)
 	if n.Key == (Key{}) || now.Sub(touched) > rememberFor+quarantineFor[len(quarantineFor)-1] {
-		return Turn{}
+		return VerdictChange{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -144,16 +144,16 @@
 		}
 		return t.turn(n.Key, from, now)
 	}
-	left := min(time.Duration(n.LeftMs)*time.Millisecond, t.most)
+	left := min(time.Duration(n.RemainingMs)*time.Millisecond, t.most)
 	t.record(n.Key, now).learn(n, touched, now.Add(left))
 	return t.turn(n.Key, from, now)
 }
 
 // learn merges what another instance says, which a leaf's end at a time made it believe, with
 // the end of its quarantine.
-func (r *record) learn(n Note, touched, until time.Time) {
+func (r *record) learn(n Report, touched, until time.Time) {
 	fresh := len(r.ends) == 0
-	for _, end := range n.Ends {
+	for _, end := range n.EndIDs {
 		r.add(end)
 	}
 	if fresh || touched.After(r.touched) {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -36,8 +36,8 @@
 
 // Counts are what has happened so far.
 type Counts struct {
-	// Ended counts ends of leafs under requests of this instance.
-	Ended atomic.Int64
+	// LeafsEnded counts ends of leafs under requests of this instance.
+	LeafsEnded atomic.Int64
 	// Trials counts requests that were tried at one leaf.
 	Trials atomic.Int64
 	// Cleared counts suspects that a leaf has answered.
@@ -49,8 +49,8 @@
 	return &Table{records: make(map[Key]*record), most: quarantineFor[len(quarantineFor)-1]}
 }
 
-// SetMost bounds how long a request is quarantined, also those that are.
-func (t *Table) SetMost(most time.Duration, now time.Time) {
+// SetMaxDuration bounds how long a request is quarantined, also those that are.
+func (t *Table) SetMaxDuration(most time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.most = most
@@ -62,28 +62,28 @@
 // Counts are the counters.
 func (t *Table) Counts() *Counts { return &t.counts }
 
-// Turn is a change of what is believed of a request.
-type Turn struct {
+// VerdictChange is a change of what is believed of a request.
+type VerdictChange struct {
 	Key      Key
 	From, To Verdict
-	// Ends is how many leafs have ended under it, as far as is remembered, the last of
+	// LeafsEnded is how many leafs have ended under it, as far as is remembered, the last of
 	// Service.
-	Ends    int
-	Service string
-	Trials  int
-	// For is how long it is quarantined.
-	For time.Duration
+	LeafsEnded int
+	Service    string
+	Trials     int
+	// QuarantinedFor is how long it is quarantined.
+	QuarantinedFor time.Duration
 }
 
 // Changed reports whether anything changed.
-func (u Turn) Changed() bool { return u.From != u.To }
+func (u VerdictChange) Changed() bool { return u.From != u.To }
 
 // turn describes a change; mu is held.
-func (t *Table) turn(k Key, from Verdict, now time.Time) Turn {
+func (t *Table) turn(k Key, from Verdict, now time.Time) VerdictChange {
 	r := t.records[k]
-	u := Turn{Key: k, From: from, To: r.verdict(now)}
+	u := VerdictChange{Key: k, From: from, To: r.verdict(now)}
 	if r != nil {
-		u.Ends, u.Service, u.Trials, u.For = len(r.ends), r.service, r.trials, max(r.until.Sub(now), 0)
+		u.LeafsEnded, u.Service, u.Trials, u.QuarantinedFor = len(r.ends), r.service, r.trials, max(r.until.Sub(now), 0)
 	}
 	return u
 }
@@ -98,8 +98,8 @@
 	return t.records[k].verdict(now)
 }
 
-// Left is for how much longer a request is quarantined; zero: it is not.
-func (t *Table) Left(k Key, now time.Time) time.Duration {
+// Remaining is for how much longer a request is quarantined; zero: it is not.
+func (t *Table) Remaining(k Key, now time.Time) time.Duration {
 	if t.size.Load() == 0 {
 		return 0
 	}
@@ -144,15 +144,15 @@
 	return Admission{}
 }
 
-// Ended takes over that a leaf of a service ended while it had an attempt of a request, since
+// RecordLeafEnd takes over that a leaf of a service ended while it had an attempt of a request, since
 // began. Several attempts that a leaf had when it ended count once.
-func (t *Table) Ended(k Key, attempt, leaf, service string, began, now time.Time) Turn {
+func (t *Table) RecordLeafEnd(k Key, attempt, leaf, service string, began, now time.Time) VerdictChange {
 	if k == (Key{}) {
-		return Turn{}
+		return VerdictChange{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counts.Ended.Add(1)
+	t.counts.LeafsEnded.Add(1)
 	r := t.record(k, now)
 	from := r.verdict(now)
 	if r.leaf == leaf && !began.After(r.touched) {
@@ -165,12 +165,12 @@
 	return t.turn(k, from, now)
 }
 
-// Trial is how a trial ended.
-type Trial int
+// TrialOutcome is how a trial ended.
+type TrialOutcome int
 
 const (
 	// Unsent: no leaf got the request.
-	Unsent Trial = iota
+	Unsent TrialOutcome = iota
 	// Answered: a leaf answered it.
 	Answered
 	// LeafEnded: the leaf ended.
@@ -179,13 +179,13 @@
 	Unresolved
 )
 
-// TrialEnded takes over how the trial of a suspect ended.
-func (t *Table) TrialEnded(k Key, trial Trial, now time.Time) Turn {
+// RecordTrial takes over how the trial of a suspect ended.
+func (t *Table) RecordTrial(k Key, trial TrialOutcome, now time.Time) VerdictChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[k]
 	if r == nil {
-		return Turn{}
+		return VerdictChange{}
 	}
 	from := r.verdict(now)
 	r.tryingUntil = time.Time{}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -24,7 +24,7 @@
 func suspect() (*Table, Key) {
 	t, k := NewTable(), key(0)
 	for _, leaf := range []string{"a", "b"} {
-		t.Ended(k, "first", leaf, "s", epoch, at(10*time.Millisecond))
+		t.RecordLeafEnd(k, "first", leaf, "s", epoch, at(10*time.Millisecond))
 	}
 	return t, k
 }
@@ -33,16 +33,16 @@
 func TestRequestThatEndsLeafsIsQuarantined(t *testing.T) {
 	table, k := NewTable(), key(0)
 	require.Equal(t, Sound, table.Admit(k, epoch).Verdict)
-	require.False(t, table.Ended(k, "r1", "a", "s", epoch, at(time.Millisecond)).Changed())
+	require.False(t, table.RecordLeafEnd(k, "r1", "a", "s", epoch, at(time.Millisecond)).Changed())
 	require.Equal(t, Sound, table.Verdict(k, at(time.Millisecond)), "one leaf may have ended for another reason")
-	turn := table.Ended(k, "r1", "b", "s2", epoch, at(2*time.Millisecond))
+	turn := table.RecordLeafEnd(k, "r1", "b", "s2", epoch, at(2*time.Millisecond))
 	require.Equal(t, Suspect, turn.To)
 	require.Equal(t, Admission{Verdict: Suspect, Service: "s2"}, table.Admit(k, at(time.Second)))
 	require.Equal(t, Quarantined, table.Admit(k, at(time.Second)).Verdict, "one trial at a time")
-	table.Ended(k, "r2", "c", "s", at(time.Second), at(1010*time.Millisecond))
-	turn = table.TrialEnded(k, LeafEnded, at(1010*time.Millisecond))
+	table.RecordLeafEnd(k, "r2", "c", "s", at(time.Second), at(1010*time.Millisecond))
+	turn = table.RecordTrial(k, LeafEnded, at(1010*time.Millisecond))
 	require.Equal(t, Quarantined, turn.To)
-	require.Equal(t, 10*time.Second, turn.For)
+	require.Equal(t, 10*time.Second, turn.QuarantinedFor)
 	require.Equal(t, 5*time.Second, table.Admit(k, at(6010*time.Millisecond)).RetryAfter)
 	require.Equal(t, Sound, table.Admit(key(1), at(2*time.Second)).Verdict, "other requests are not concerned")
 	require.Equal(t, Sound, table.Admit(Key{}, at(2*time.Second)).Verdict, "nor one without a key")
@@ -52,7 +52,7 @@
 func TestTrialThatIsAnsweredClears(t *testing.T) {
 	table, k := suspect()
 	require.Equal(t, Suspect, table.Admit(k, at(time.Second)).Verdict)
-	turn := table.TrialEnded(k, Answered, at(1020*time.Millisecond))
+	turn := table.RecordTrial(k, Answered, at(1020*time.Millisecond))
 	require.True(t, turn.Changed())
 	require.Equal(t, Sound, turn.To)
 	require.Equal(t, Sound, table.Admit(k, at(2*time.Second)).Verdict)
@@ -70,8 +70,8 @@
 			continue
 		}
 		trials++
-		table.Ended(k, "again", now.String(), "s", now, now.Add(10*time.Millisecond))
-		table.TrialEnded(k, LeafEnded, now.Add(10*time.Millisecond))
+		table.RecordLeafEnd(k, "again", now.String(), "s", now, now.Add(10*time.Millisecond))
+		table.RecordTrial(k, LeafEnded, now.Add(10*time.Millisecond))
 	}
 	require.Equal(t, 3, trials)
 }
@@ -83,11 +83,11 @@
 	now := at(time.Second)
 	for _, wait := range []time.Duration{5 * time.Second, 10 * time.Second, 20 * time.Second} {
 		require.Equal(t, Suspect, table.Admit(k, now).Verdict)
-		require.Equal(t, wait, table.TrialEnded(k, Unresolved, now).For)
+		require.Equal(t, wait, table.RecordTrial(k, Unresolved, now).QuarantinedFor)
 		now = now.Add(wait)
 	}
 	require.Equal(t, Suspect, table.Admit(k, now).Verdict)
-	require.False(t, table.TrialEnded(k, Unsent, now).Changed())
+	require.False(t, table.RecordTrial(k, Unsent, now).Changed())
 	require.Equal(t, Suspect, table.Admit(k, now).Verdict)
 }
 
@@ -95,10 +95,10 @@
 func TestOneEndCountsOnce(t *testing.T) {
 	table, k := NewTable(), key(0)
 	for _, attempt := range []string{"r1", "r2", "r3"} {
-		table.Ended(k, attempt, "a", "s", epoch, at(10*time.Millisecond))
+		table.RecordLeafEnd(k, attempt, "a", "s", epoch, at(10*time.Millisecond))
 	}
 	require.Equal(t, Sound, table.Verdict(k, at(time.Second)))
-	table.Ended(k, "r4", "a", "s", at(time.Second), at(1010*time.Millisecond))
+	table.RecordLeafEnd(k, "r4", "a", "s", at(time.Second), at(1010*time.Millisecond))
 	require.Equal(t, Suspect, table.Verdict(k, at(2*time.Second)), "a server that has started again under its name")
 }
 
@@ -106,11 +106,11 @@
 func TestMemoryIsBounded(t *testing.T) {
 	table, k := suspect()
 	table.Admit(k, at(time.Second))
-	table.TrialEnded(k, LeafEnded, at(time.Second))
+	table.RecordTrial(k, LeafEnded, at(time.Second))
 	for n := range 3 * recordsMost {
 		now := at(time.Second + time.Duration(n)*time.Millisecond/2)
-		table.Ended(key(n+1), "r", "a", "s", now, now)
-		table.Learn(Note{Key: key(-n - 10), Ends: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}, now)
+		table.RecordLeafEnd(key(n+1), "r", "a", "s", now, now)
+		table.Merge(Report{Key: key(-n - 10), EndIDs: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}, now)
 	}
 	require.LessOrEqual(t, len(table.records), recordsMost)
 	require.LessOrEqual(t, len(table.told), pendingMost)
@@ -126,31 +126,31 @@
 // What two instances saw adds up, and what one of them believes the other believes too.
 func TestInstancesShareWhatTheyKnow(t *testing.T) {
 	a, b, k := NewTable(), NewTable(), key(0)
-	a.Ended(k, "r1", "x", "s", epoch, epoch)
-	b.Ended(k, "r2", "y", "s", epoch, epoch)
+	a.RecordLeafEnd(k, "r1", "x", "s", epoch, epoch)
+	b.RecordLeafEnd(k, "r2", "y", "s", epoch, epoch)
 	share := func(from, to *Table, now time.Time) {
-		for _, n := range from.Changes(10, now) {
-			to.Learn(n, now)
+		for _, n := range from.PendingReports(10, now) {
+			to.Merge(n, now)
 		}
 	}
 	share(a, b, at(time.Second))
 	require.Equal(t, Suspect, b.Verdict(k, at(time.Second)))
 	require.Equal(t, Suspect, b.Admit(k, at(time.Second)).Verdict)
-	b.TrialEnded(k, LeafEnded, at(time.Second))
+	b.RecordTrial(k, LeafEnded, at(time.Second))
 	share(b, a, at(2*time.Second))
-	require.Equal(t, 9*time.Second, a.Left(k, at(2*time.Second)))
+	require.Equal(t, 9*time.Second, a.Remaining(k, at(2*time.Second)))
 	for now := at(2 * time.Second); now.Before(at(5 * time.Second)); now = now.Add(time.Second) {
 		share(a, b, now)
 		share(b, a, now)
 	}
-	require.Empty(t, a.Changes(10, at(5*time.Second)), "each change is told a few times only")
+	require.Empty(t, a.PendingReports(10, at(5*time.Second)), "each change is told a few times only")
 	c := NewTable()
-	for _, n := range a.Some(10, at(6*time.Second)) {
-		c.Learn(n, at(6*time.Second))
+	for _, n := range a.AntiEntropyReports(10, at(6*time.Second)) {
+		c.Merge(n, at(6*time.Second))
 	}
-	require.Equal(t, 5*time.Second, c.Left(k, at(6*time.Second)), "one that has just started")
+	require.Equal(t, 5*time.Second, c.Remaining(k, at(6*time.Second)), "one that has just started")
 	require.Equal(t, Suspect, b.Admit(k, at(2*time.Minute)).Verdict)
-	b.TrialEnded(k, Answered, at(2*time.Minute))
+	b.RecordTrial(k, Answered, at(2*time.Minute))
 	share(b, a, at(2*time.Minute))
 	require.Equal(t, Sound, a.Verdict(k, at(2*time.Minute)))
 }
@@ -160,13 +160,13 @@
 	table := NewTable()
 	for n := range 10 {
 		for _, leaf := range []string{"a", "b"} {
-			table.Ended(key(n), "r", leaf, "s", epoch, epoch)
+			table.RecordLeafEnd(key(n), "r", leaf, "s", epoch, epoch)
 		}
 	}
-	table.Ended(key(99), "r", "a", "s", epoch, epoch)
+	table.RecordLeafEnd(key(99), "r", "a", "s", epoch, epoch)
 	seen := map[Key]bool{}
 	for range 3 {
-		notes := table.Some(4, epoch)
+		notes := table.AntiEntropyReports(4, epoch)
 		require.Len(t, notes, 4)
 		for _, n := range notes {
 			seen[n.Key] = true
@@ -178,11 +178,11 @@
 // What a peer says is bounded: it cannot quarantine for longer than this instance would.
 func TestAbsurdNotesAreBounded(t *testing.T) {
 	table := NewTable()
-	table.Learn(Note{Key: key(0), Ends: []uint64{1, 2}, LeftMs: 1<<32 - 1, Trials: 255, Service: string(make([]byte, 1<<16))}, epoch)
-	require.LessOrEqual(t, table.Left(key(0), epoch), 24*time.Hour)
+	table.Merge(Report{Key: key(0), EndIDs: []uint64{1, 2}, RemainingMs: 1<<32 - 1, Trials: 255, Service: string(make([]byte, 1<<16))}, epoch)
+	require.LessOrEqual(t, table.Remaining(key(0), epoch), 24*time.Hour)
 	require.LessOrEqual(t, len(table.records[key(0)].service), serviceMost)
-	require.False(t, table.Learn(Note{Ends: []uint64{1, 2}}, epoch).Changed())
-	require.False(t, table.Learn(Note{Key: key(1), Ends: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(), "too old to matter")
+	require.False(t, table.Merge(Report{EndIDs: []uint64{1, 2}}, epoch).Changed())
+	require.False(t, table.Merge(Report{Key: key(1), EndIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(), "too old to matter")
 }
 
 // After a bad release leafs end whatever they run. Each request that comes again would be
@@ -193,11 +193,11 @@
 	for round := range 4 {
 		for n := range 3 * manyQuarantined {
 			for range 2 {
-				table.Ended(key(n), fmt.Sprint(round), fmt.Sprint(n, round), "s", now, now)
+				table.RecordLeafEnd(key(n), fmt.Sprint(round), fmt.Sprint(n, round), "s", now, now)
 			}
-			table.Ended(key(n), fmt.Sprint(round), fmt.Sprint("b", n, round), "s", now, now)
+			table.RecordLeafEnd(key(n), fmt.Sprint(round), fmt.Sprint("b", n, round), "s", now, now)
 			table.Admit(key(n), now)
-			table.TrialEnded(key(n), LeafEnded, now)
+			table.RecordTrial(key(n), LeafEnded, now)
 		}
 		now = now.Add(11 * time.Second)
 	}
@@ -214,11 +214,11 @@
 func TestMostIsTheOperators(t *testing.T) {
 	table, k := suspect()
 	table.Admit(k, at(time.Second))
-	table.TrialEnded(k, LeafEnded, at(time.Second))
-	table.SetMost(time.Second, at(2*time.Second))
-	require.Equal(t, time.Second, table.Left(k, at(2*time.Second)))
-	table.Learn(Note{Key: k, Ends: []uint64{1, 2}, LeftMs: 60000}, at(2*time.Second))
-	require.Equal(t, time.Second, table.Left(k, at(2*time.Second)))
+	table.RecordTrial(k, LeafEnded, at(time.Second))
+	table.SetMaxDuration(time.Second, at(2*time.Second))
+	require.Equal(t, time.Second, table.Remaining(k, at(2*time.Second)))
+	table.Merge(Report{Key: k, EndIDs: []uint64{1, 2}, RemainingMs: 60000}, at(2*time.Second))
+	require.Equal(t, time.Second, table.Remaining(k, at(2*time.Second)))
 	require.Equal(t, Suspect, table.Admit(k, at(4*time.Second)).Verdict)
-	require.Equal(t, time.Second, table.TrialEnded(k, LeafEnded, at(4*time.Second)).For)
+	require.Equal(t, time.Second, table.RecordTrial(k, LeafEnded, at(4*time.Second)).QuarantinedFor)
 }
--- a/pkg/quarantine/turn.go
+++ b/pkg/quarantine/turn.go
@@ -3,7 +3,7 @@
 import "github.com/indigoyoke/indigoyoke/pkg/oplog"
 
 // Event is the log event of a change.
-func (u Turn) Event() string {
+func (u VerdictChange) Event() string {
 	switch u.To {
 	case Suspect:
 		return "request_suspect"
@@ -14,9 +14,9 @@
 }
 
 // Fields are those of a log line about a change.
-func (u Turn) Fields() oplog.Fields {
+func (u VerdictChange) Fields() oplog.Fields {
 	return oplog.Fields{
-		"content": u.Key.String(), "was": u.From.String(), "leafs_ended": u.Ends, "service": u.Service,
-		"trials": u.Trials, "quarantined_ms": u.For.Milliseconds(),
+		"content": u.Key.String(), "was": u.From.String(), "leafs_ended": u.LeafsEnded, "service": u.Service,
+		"trials": u.Trials, "quarantined_ms": u.QuarantinedFor.Milliseconds(),
 	}
 }
--- a/pkg/relay/exchange.go
+++ b/pkg/relay/exchange.go
@@ -18,8 +18,8 @@
 // ask is one question: the version the asker has in force, 0 for none, and the requests that
 // it knows to end leafs.
 type ask struct {
-	Version  int64             `json:"version"`
-	Requests []quarantine.Note `json:"requests,omitempty"`
+	Version  int64               `json:"version"`
+	Requests []quarantine.Report `json:"requests,omitempty"`
 }
 
 // reply is the answer: the version the peer has in force and, if that is
@@ -27,13 +27,13 @@
 // all are, is not gzipped: setting up a compressor costs more than the rest
 // of the exchange.
 type reply struct {
-	Version  int64             `json:"version"`
-	ConfigGz []byte            `json:"config_gz,omitempty"`
-	Requests []quarantine.Note `json:"requests,omitempty"`
+	Version  int64               `json:"version"`
+	ConfigGz []byte              `json:"config_gz,omitempty"`
+	Requests []quarantine.Report `json:"requests,omitempty"`
 }
 
 // exchange asks the peer at addr; nil means it has nothing newer.
-func (r *Relay) exchange(ctx context.Context, addr string, requests []quarantine.Note) (*topology.Config, error) {
+func (r *Relay) exchange(ctx context.Context, addr string, requests []quarantine.Report) (*topology.Config, error) {
 	conn, err := r.dialer.conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 
 // readReply decodes an answer: a configuration, nil if there is nothing newer, and what the
 // peer says of requests.
-func readReply(from io.Reader) (*topology.Config, []quarantine.Note, error) {
+func readReply(from io.Reader) (*topology.Config, []quarantine.Report, error) {
 	var a reply
 	if err := json.NewDecoder(io.LimitReader(from, maxReplyBytes)).Decode(&a); err != nil {
 		return nil, nil, err
@@ -97,13 +97,15 @@
 }
 
 // requests are those that end leafs, as a peer is told of them.
-func (r *Relay) requests() []quarantine.Note { return r.quarantine.Some(maxRequests, time.Now()) }
+func (r *Relay) requests() []quarantine.Report {
+	return r.quarantine.AntiEntropyReports(maxRequests, time.Now())
+}
 
 // learn takes over what a peer says of requests that end leafs.
-func (r *Relay) learn(notes []quarantine.Note, peer string) {
+func (r *Relay) learn(notes []quarantine.Report, peer string) {
 	now := time.Now()
 	for _, note := range notes[:min(len(notes), maxRequests)] {
-		if turn := r.quarantine.Learn(note, now); turn.Changed() {
+		if turn := r.quarantine.Merge(note, now); turn.Changed() {
 			r.log.WithField("peer", peer).WithFields(logrus.Fields(turn.Fields())).Warn(turn.Event())
 		}
 	}
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -152,14 +152,14 @@
 	due := time.Now().Add(r.pause())
 	for ctx.Err() == nil && time.Now().Before(due) {
 		service.Sleep(ctx, min(tellStep, time.Until(due)))
-		if changes := r.quarantine.Changes(maxRequests, time.Now()); len(changes) > 0 {
+		if changes := r.quarantine.PendingReports(maxRequests, time.Now()); len(changes) > 0 {
 			r.askAll(ctx, changes)
 		}
 	}
 }
 
 // askAll asks every peer once, and tells them of changed requests.
-func (r *Relay) askAll(ctx context.Context, changes []quarantine.Note) {
+func (r *Relay) askAll(ctx context.Context, changes []quarantine.Report) {
 	r.mu.Lock()
 	peers := slices.Clone(r.peers)
 	r.mu.Unlock()
@@ -208,7 +208,7 @@
 }
 
 // ask asks one peer, tells it of requests, and puts a newer configuration in force.
-func (r *Relay) ask(ctx context.Context, addr string, requests []quarantine.Note) {
+func (r *Relay) ask(ctx context.Context, addr string, requests []quarantine.Report) {
 	r.asked.Inc()
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
--- a/pkg/settings/nodetimes.go
+++ b/pkg/settings/nodetimes.go
@@ -69,17 +69,17 @@
 	timeout := n.capped(n.Store.CallTimeoutMs, timeoutPart)
 	of := func(part float64) time.Duration { return time.Duration(part * float64(proof)) }
 	return longpoll.Options{
-		Wait: n.WatchWait(), Look: look, Pause: n.Coalesce(),
-		Proof: proof, Slack: of(slackPart), Spread: of(spreadPart),
-		TimeoutFirst: min(Duration(n.Store.FirstTimeoutMs), timeout), TimeoutMost: timeout,
-		RetryFirst: n.capped(n.Store.RetryFirstMs, retryPart), RetryMost: n.capped(n.Store.RetryMostMs, retryMostPart),
+		Wait: n.WatchWait(), ProbeWait: look, CoalesceDelay: n.Coalesce(),
+		FreshnessInterval: proof, FreshnessSlack: of(slackPart), Jitter: of(spreadPart),
+		Timeout: min(Duration(n.Store.FirstTimeoutMs), timeout), RetryTimeout: timeout,
+		MinBackoff: n.capped(n.Store.RetryFirstMs, retryPart), MaxBackoff: n.capped(n.Store.RetryMostMs, retryMostPart),
 	}
 }
 
 // KnownWithin is how late a change of the store is known at most: after its publication, or after
 // the return of a store that was away, whichever is later.
 func (n *Node) KnownWithin() time.Duration {
-	return n.Pace().Bound(n.capped(slowAnswerMs, answerPart))
+	return n.Pace().MaxPropagationDelay(n.capped(slowAnswerMs, answerPart))
 }
 
 // checkKnownWithin reports settings with which a change is known too late to have effect in time.
