--- a/pkg/cli/node.go
+++ b/pkg/cli/node.go
@@ -25,7 +25,7 @@
 	return node.Adapter{
 		ReadyPath: platform.PathReady,
 		Source:    func(address string, log *oplog.Log) discovery.Source { return platform.NewStore(address, log) },
-		Leafs:     func(pool *leafconn.Pool) gateway.Leafs { return platform.NewLeafs(pool) },
+		Leafs:     func(pool *leafconn.Pool) gateway.LeafClient { return platform.NewLeafs(pool) },
 		Door:      func(g *gateway.Gateway, log *oplog.Log) http.Handler { return platform.NewDoor(g, log) },
 		Peers:     platform.PeerCodec{},
 	}
--- a/pkg/entry/handlers.go
+++ b/pkg/entry/handlers.go
@@ -52,7 +52,7 @@
 	message.Snapshot = cl.index.Snapshot
 	message.FromZone = e.set.Zone
 	return e.gateway.Serve(ctx, &gateway.Request{
-		ID: cl.id, Key: contentKey(cl.name, &message), Arrived: cl.arrived, Patience: cl.timeout,
+		ID: cl.id, Key: contentKey(cl.name, &message), Arrived: cl.arrived, Timeout: cl.timeout,
 		Content: &leafWork{message: message, plan: cl.plan},
 	}, route)
 }
@@ -101,7 +101,7 @@
 		req.IdempotencyKey = k
 	}
 	if req.IdempotencyKey == "" {
-		e.reply(c, PathHold, e.refusal("", errcode.MissingIdempotency, "send an Idempotency-Key"))
+		e.reply(c, PathHold, e.refusal("", errcode.MissingIdempotencyKey, "send an Idempotency-Key"))
 		return
 	}
 	cl, ans := e.admit(ctx, c, req.Deployment, req.Index, req.TimeoutMs, true)
@@ -124,7 +124,7 @@
 	}
 	if service.CallerGone(ctx) {
 		e.stats.callersLeft.Inc()
-		return nil, ptr(e.refusal(id, errcode.CallerLeft, errcode.CallerLeft.Name()))
+		return nil, ptr(e.refusal(id, errcode.CallerDisconnected, errcode.CallerDisconnected.Name()))
 	}
 	p := e.plan.Load()
 	if p == nil {
--- a/pkg/entry/hold.go
+++ b/pkg/entry/hold.go
@@ -34,7 +34,7 @@
 	case a.Relayed != nil && a.Relayed.Outcome == replica.Answered:
 		return held(cl, req.Shard, a.Relayed.Content.(*wire.LeafResponse))
 	case a.Code == errcode.ShardsUnavailable:
-		return e.notHeld(cl, req.Shard, a.Last)
+		return e.notHeld(cl, req.Shard, a.LastFailure)
 	}
 	return e.holdUnknown(cl, req.Shard, &a)
 }
@@ -70,8 +70,8 @@
 	switch {
 	case a.Relayed != nil:
 		code, msg = leafError(a.Relayed)
-	case a.Last != nil:
-		code, msg = leafError(a.Last)
+	case a.LastFailure != nil:
+		code, msg = leafError(a.LastFailure)
 	}
 	answer := e.withoutShard(cl, shard, code, msg)
 	answer.Code = errcode.OutcomeUnknown
--- a/pkg/entry/leafs.go
+++ b/pkg/entry/leafs.go
@@ -34,7 +34,7 @@
 	plan    *plan
 }
 
-// leafs speaks to backend servers. It implements gateway.Leafs.
+// leafs speaks to backend servers. It implements gateway.LeafClient.
 type leafs struct {
 	client *service.Client
 	stats  *entryMetrics
@@ -49,7 +49,7 @@
 // errMismatch is the error of a reply that belongs to another request.
 var errMismatch = errors.New("reply did not match the request")
 
-// Do implements gateway.Leafs.
+// Do implements gateway.LeafClient.
 func (l *leafs) Do(ctx context.Context, call gateway.LeafCall) gateway.LeafReply {
 	req := message(call)
 	if req.Kind == wire.LeafSearch {
@@ -100,7 +100,7 @@
 		return replica.Abandoned
 	case !time.Now().Before(call.Deadline):
 		return replica.TimedOut
-	case sock.Refuses(ctx, call.Leaf.Addr, sock.RefusedWithin):
+	case sock.RefusesConnections(ctx, call.Leaf.Addr, sock.RefusalTimeout):
 		return replica.Ended
 	}
 	return replica.Broken
@@ -121,23 +121,23 @@
 	return replica.Failed
 }
 
-// Probe implements gateway.Leafs. Any reply shows that the server is reached.
+// Probe implements gateway.LeafClient. Any reply shows that the server is reached.
 func (l *leafs) Probe(ctx context.Context, leaf replica.Leaf, _ string, by time.Time) bool {
 	var health wire.Health
 	_, err := l.client.Do(ctx, http.MethodGet, "http://"+leaf.Addr+service.PathHealth, nil, nil, &health, by)
 	return err == nil
 }
 
-// Forget implements gateway.Leafs.
-func (l *leafs) Forget(backend string) {
+// RemoveLeaf implements gateway.LeafClient.
+func (l *leafs) RemoveLeaf(backend string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.cancels, backend)
 }
 
-// Restarted implements gateway.Leafs. A backend server that starts again shows it by
+// HandleRestart implements gateway.LeafClient. A backend server that starts again shows it by
 // closing its connections, which ends the calls.
-func (l *leafs) Restarted(backend string) { l.Forget(backend) }
+func (l *leafs) HandleRestart(backend string) { l.RemoveLeaf(backend) }
 
 // cancel tells a backend server to stop working on a search. It is a message and
 // not a closed connection, because a new connection costs a backend server
--- a/pkg/entry/plan_test.go
+++ b/pkg/entry/plan_test.go
@@ -43,7 +43,7 @@
 	for code, want := range map[errcode.Code]replica.Outcome{
 		errcode.OK: replica.Answered, errcode.ShardCancelled: replica.Abandoned, errcode.ShardTimeout: replica.TimedOut,
 		errcode.ShardRefused: replica.Refused, errcode.SnapshotUnavailable: replica.Refused,
-		errcode.ShardNotHere: replica.Refused, errcode.ShardFailed: replica.Failed,
+		errcode.ShardNotHosted: replica.Refused, errcode.ShardFailed: replica.Failed,
 	} {
 		require.Equal(t, want, outcomeOf(code), code)
 		require.Equal(t, code.NotRun() && code != errcode.OK, outcomeOf(code).NotRun(), "%v: not run only where the leaf says so", code)
@@ -51,19 +51,19 @@
 }
 
 func TestMissingReasons(t *testing.T) {
-	refused := &gateway.LeafReply{Outcome: replica.Refused, Content: &wire.LeafResponse{Code: errcode.ShardNotHere}}
+	refused := &gateway.LeafReply{Outcome: replica.Refused, Content: &wire.LeafResponse{Code: errcode.ShardNotHosted}}
 	for _, tc := range []struct {
 		shard gateway.ShardAnswer
 		want  errcode.Code
 	}{
-		{gateway.ShardAnswer{Lack: fanout.NoLeaf}, errcode.ShardUnavailable},
-		{gateway.ShardAnswer{Lack: fanout.AllDown}, errcode.ShardUnavailable},
-		{gateway.ShardAnswer{Lack: fanout.Unanswered}, errcode.ShardTimeout},
-		{gateway.ShardAnswer{Lack: fanout.AllBusy}, errcode.ShardNotSent},
-		{gateway.ShardAnswer{Lack: fanout.Failed, Last: refused}, errcode.ShardNotHere},
-		{gateway.ShardAnswer{Lack: fanout.Failed, Last: &gateway.LeafReply{Outcome: replica.NotSent}}, errcode.ShardUnavailable},
-		{gateway.ShardAnswer{Lack: fanout.Failed, Last: &gateway.LeafReply{Outcome: replica.NotSent, Err: gateway.ErrNoWorker}}, errcode.EntryOverloaded},
-		{gateway.ShardAnswer{Lack: fanout.Failed, Last: &gateway.LeafReply{Outcome: replica.Broken, Err: errMismatch}}, errcode.ShardFailed},
+		{gateway.ShardAnswer{MissingReason: fanout.NoLeaf}, errcode.ShardUnavailable},
+		{gateway.ShardAnswer{MissingReason: fanout.AllDown}, errcode.ShardUnavailable},
+		{gateway.ShardAnswer{MissingReason: fanout.Unanswered}, errcode.ShardTimeout},
+		{gateway.ShardAnswer{MissingReason: fanout.AllBusy}, errcode.ShardNotSent},
+		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: refused}, errcode.ShardNotHosted},
+		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.NotSent}}, errcode.ShardUnavailable},
+		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.NotSent, Err: gateway.ErrNoWorker}}, errcode.EntryOverloaded},
+		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.Broken, Err: errMismatch}}, errcode.ShardFailed},
 	} {
 		code, reason := missing(&tc.shard)
 		require.Equal(t, tc.want, code)
--- a/pkg/entry/search.go
+++ b/pkg/entry/search.go
@@ -19,7 +19,7 @@
 		return e.overloaded(cl)
 	case errcode.Quarantined:
 		return e.quarantined(cl, &a)
-	case errcode.CallerLeft:
+	case errcode.CallerDisconnected:
 		e.stats.callersLeft.Inc()
 		return e.refusal(cl.id, a.Code, a.Code.Name())
 	}
@@ -50,10 +50,10 @@
 
 // missing is the code and the text for a shard that an answer lacks.
 func missing(s *gateway.ShardAnswer) (errcode.Code, string) {
-	switch s.Lack {
+	switch s.MissingReason {
 	case fanout.Failed:
-		if s.Last != nil {
-			return leafError(s.Last)
+		if s.LastFailure != nil {
+			return leafError(s.LastFailure)
 		}
 	case fanout.NoLeaf, fanout.AllDown:
 		return errcode.ShardUnavailable, "no live leaf"
--- a/pkg/entry/second.go
+++ b/pkg/entry/second.go
@@ -46,8 +46,8 @@
 		f.HedgeAtTypical = hedgeAtTypical
 	}
 	return gateway.Options{
-		Fanout: f, MaxInFlight: s.MaxInFlight, Workers: s.Workers, EndLosers: true,
-		DefaultPatience: settings.Duration(s.DefaultTimeoutMs), AnswerMargin: replyMargin,
+		Fanout: f, MaxInFlight: s.MaxInFlight, Workers: s.Workers, CancelLosingCalls: true,
+		DefaultTimeout: settings.Duration(s.DefaultTimeoutMs), AnswerMargin: replyMargin,
 		RetryAfter: settings.Duration(s.RetryAfterMs),
 	}
 }
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{listener: Resilient(ln), limits: limits, maxConns: int64(maxConns)}
+	s := &Server{listener: RetryAccept(ln), limits: limits, maxConns: int64(maxConns)}
 	s.handler = s.drainAware(handler)
 	s.current = s.generation(limits)
 	return s, nil
@@ -93,12 +93,12 @@
 	}
 }
 
-// Open is how many callers' connections are open, Turned how many were closed
+// OpenConns is how many callers' connections are open, Turned how many were closed
 // because there were too many.
-func (s *Server) Open() int64 { return s.open.Load() }
+func (s *Server) OpenConns() int64 { return s.open.Load() }
 
-// Turned is how many connections were closed because there were too many.
-func (s *Server) Turned() int64 { return s.turned.Load() }
+// RejectedConns is how many connections were closed because there were too many.
+func (s *Server) RejectedConns() int64 { return s.turned.Load() }
 
 // SetLimits puts other limits in force for new connections.
 func (s *Server) SetLimits(limits routing.Limits) {
@@ -196,11 +196,11 @@
 	once   sync.Once
 }
 
-// Resilient wraps a listener so that Accept returns an error only once it is
+// RetryAccept wraps a listener so that Accept returns an error only once it is
 // closed. With all descriptors in use accept fails; a server that ends on that
 // takes the whole process out of service for a shortage that passes within
 // seconds.
-func Resilient(ln net.Listener) net.Listener {
+func RetryAccept(ln net.Listener) net.Listener {
 	return &listener{Listener: ln, closed: make(chan struct{})}
 }
 
--- a/pkg/front/front_test.go
+++ b/pkg/front/front_test.go
@@ -37,7 +37,7 @@
 	require.NoError(t, err)
 	f := &flaky{Listener: ln}
 	f.left.Store(3)
-	r := Resilient(f)
+	r := RetryAccept(f)
 	go func() {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err == nil {
@@ -100,13 +100,13 @@
 		require.Equal(t, 200, get(t, c, s.Addr(), 10))
 		kept = append(kept, c)
 	}
-	require.EqualValues(t, 2, s.Open())
+	require.EqualValues(t, 2, s.OpenConns())
 	fresh := &http.Client{Transport: &http.Transport{}}
 	_, err = fresh.Get("http://" + s.Addr())
 	require.Error(t, err)
-	require.GreaterOrEqual(t, s.Turned(), int64(1))
+	require.GreaterOrEqual(t, s.RejectedConns(), int64(1))
 	kept[0].CloseIdleConnections()
-	require.Eventually(t, func() bool { return s.Open() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.OpenConns() == 1 }, 10*time.Second, time.Millisecond)
 	require.Equal(t, 200, get(t, fresh, s.Addr(), 10))
 	fresh.CloseIdleConnections()
 	kept[1].CloseIdleConnections()
@@ -117,7 +117,7 @@
 func TestOnTheWay(t *testing.T) {
 	ways := make(chan time.Duration, 2)
 	s, err := New("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		ways <- OnTheWay(r.Context())
+		ways <- NetworkDelay(r.Context())
 	}), routing.Limits{IdleTimeout: time.Minute}, 10)
 	require.NoError(t, err)
 	go s.Run()
@@ -134,5 +134,5 @@
 	first, second := <-ways, <-ways
 	require.Positive(t, second)
 	require.Equal(t, 2*second, first)
-	require.Zero(t, OnTheWay(t.Context()), "no connection known")
+	require.Zero(t, NetworkDelay(t.Context()), "no connection known")
 }
--- a/pkg/front/way.go
+++ b/pkg/front/way.go
@@ -24,7 +24,7 @@
 	return context.WithValue(ctx, callerKey{}, &callerConn{conn: conn})
 }
 
-// OnTheWay is how long the request that ctx belongs to, and its answer, spend
+// NetworkDelay is how long the request that ctx belongs to, and its answer, spend
 // between the caller and this instance: a round trip, and one more before the
 // first request on a connection for opening it. It is called once a request.
 //
@@ -33,7 +33,7 @@
 // caller after it; one notices whole routes late by their callers' count and in
 // time by this instance's. The kernel knows the round trip from opening the
 // connection.
-func OnTheWay(ctx context.Context) time.Duration {
+func NetworkDelay(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(callerKey{}).(*callerConn)
 	if !ok {
 		return 0
@@ -42,6 +42,6 @@
 	if c.requests > 1 {
 		return c.roundTrip
 	}
-	c.roundTrip = sock.RoundTrip(c.conn)
+	c.roundTrip = sock.SmoothedRTT(c.conn)
 	return 2 * c.roundTrip
 }
--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -25,9 +25,9 @@
 	Calls   []LeafCall
 	// Deadline is when the leafs should stop working on it.
 	Deadline time.Time
-	// Flush is when the first replies are wanted, and Step how long further ones may
+	// FlushAfter is when the first replies are wanted, and Step how long further ones may
 	// be collected.
-	Flush, Step time.Duration
+	FlushAfter, FlushInterval time.Duration
 }
 
 // BatchReply is what became of one call of a batch.
@@ -84,7 +84,7 @@
 	typical := float64(r.g.table.Typical(r.route.Name))
 	b := Batch{
 		Request: r.req, Route: r.route, Zone: zone, Deadline: sends[0].Deadline,
-		Flush: time.Duration(flushAtTypical * typical), Step: time.Duration(stepAtTypical * typical),
+		FlushAfter: time.Duration(flushAtTypical * typical), FlushInterval: time.Duration(stepAtTypical * typical),
 	}
 	for _, s := range sends {
 		b.Calls = append(b.Calls, r.call(s))
--- a/pkg/gateway/batches_test.go
+++ b/pkg/gateway/batches_test.go
@@ -101,7 +101,7 @@
 		<-sent
 		leave()
 	}()
-	a := g.Handle(ctx, &Request{ID: "r", Host: "h", Path: "/all/x", Arrived: time.Now(), Patience: time.Minute})
-	require.Equal(t, errcode.CallerLeft, a.Code)
+	a := g.Handle(ctx, &Request{ID: "r", Host: "h", Path: "/all/x", Arrived: time.Now(), Timeout: time.Minute})
+	require.Equal(t, errcode.CallerDisconnected, a.Code)
 	require.EqualValues(t, 1, batcher.ended.Load())
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -39,13 +39,13 @@
 	Content Content
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// OnTheWay is how long the request and its answer spend between the caller
+	// NetworkDelay is how long the request and its answer spend between the caller
 	// and this instance. The caller's waiting includes it.
-	OnTheWay time.Duration
-	// TakenBack: another instance was asked to run it, and did not take it in time.
-	TakenBack bool
-	// Patience is how long the caller waits; zero: not said.
-	Patience time.Duration
+	NetworkDelay time.Duration
+	// HandoffTimedOut: another instance was asked to run it, and did not take it in time.
+	HandoffTimedOut bool
+	// Timeout is how long the caller waits; zero: not said.
+	Timeout time.Duration
 }
 
 // onTheWayPart bounds the part of a target latency or of a caller's patience that
@@ -56,7 +56,7 @@
 // sent is when the caller began to wait for an answer that is worth most within
 // the target latency, less the way that the answer takes back.
 func (r *Request) sent(target time.Duration) time.Time {
-	return r.Arrived.Add(-min(r.OnTheWay, target/onTheWayPart))
+	return r.Arrived.Add(-min(r.NetworkDelay, target/onTheWayPart))
 }
 
 // about completes the fields of a log line about the request.
@@ -98,18 +98,18 @@
 // were in flight.
 var ErrNoWorker = errors.New("no free worker for a leaf call")
 
-// Leafs sends requests to leafs.
-type Leafs interface {
+// LeafClient sends requests to leafs.
+type LeafClient interface {
 	// Do returns when the reply is read, the call failed, or shortly after its
 	// deadline. Cancelling ctx ends the work at the leaf.
 	Do(ctx context.Context, call LeafCall) LeafReply
 	// Probe reports whether a leaf answers a health check in time.
 	Probe(ctx context.Context, leaf replica.Leaf, path string, by time.Time) bool
-	// Forget releases what is held for a leaf that left; calls in flight go on.
-	Forget(leafID string)
-	// Restarted ends the calls in flight at a leaf that has started again, whose
+	// RemoveLeaf releases what is held for a leaf that left; calls in flight go on.
+	RemoveLeaf(leafID string)
+	// HandleRestart ends the calls in flight at a leaf that has started again, whose
 	// replies cannot come any more, and releases what is held for it.
-	Restarted(leafID string)
+	HandleRestart(leafID string)
 }
 
 // Answer is the outcome of a request.
@@ -122,9 +122,9 @@
 	Route *routing.Route
 	// Relayed is the single leaf's reply that is passed on as it is.
 	Relayed *LeafReply
-	// Last is what the last leaf said to a request to one leaf that brought no
+	// LastFailure is what the last leaf said to a request to one leaf that brought no
 	// reply to pass on; nil: none was asked.
-	Last *LeafReply
+	LastFailure *LeafReply
 	// Shards are the shards of a query in the route's order; nil where it was
 	// no query.
 	Shards []ShardAnswer
@@ -134,10 +134,10 @@
 type ShardAnswer struct {
 	// Reply is the shard's part of the answer; nil: it has none.
 	Reply *LeafReply
-	// Lack says why there is no part, and Last what the last leaf that failed
+	// MissingReason says why there is no part, and Last what the last leaf that failed
 	// said; nil: none did.
-	Lack fanout.Lack
-	Last *LeafReply
+	MissingReason fanout.Lack
+	LastFailure   *LeafReply
 }
 
 // Missing is how many shards an answer to a query lacks.
@@ -158,11 +158,11 @@
 	MaxInFlight int
 	// Workers bounds the leaf calls in flight.
 	Workers int
-	// DefaultPatience is used for callers that do not say how long they wait.
-	DefaultPatience time.Duration
-	// EndLosers ends the calls of a shard that another leaf has answered. It
+	// DefaultTimeout is used for callers that do not say how long they wait.
+	DefaultTimeout time.Duration
+	// CancelLosingCalls ends the calls of a shard that another leaf has answered. It
 	// pays where that costs no connection.
-	EndLosers bool
+	CancelLosingCalls bool
 	// AnswerMargin is kept back from deadlines to write an answer.
 	AnswerMargin time.Duration
 	// ColdFactor and ColdSlack make the bound of what a cold leaf may get in a second out of what
@@ -176,7 +176,7 @@
 type Gateway struct {
 	opts     atomic.Pointer[Options]
 	table    *replica.Table
-	leafs    Leafs
+	leafs    LeafClient
 	splitter *routing.Splitter
 	pool     *ants.Pool
 	log      *oplog.Log
@@ -200,7 +200,7 @@
 }
 
 // New returns a gateway without a configuration: it refuses until one is set.
-func New(opts Options, table *replica.Table, leafs Leafs, log *oplog.Log, stats *Stats) (*Gateway, error) {
+func New(opts Options, table *replica.Table, leafs LeafClient, log *oplog.Log, stats *Stats) (*Gateway, error) {
 	pool, err := ants.NewPool(opts.Workers, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, err
@@ -275,14 +275,14 @@
 // or the route's timeout, whichever is first, less the margin to write it and the
 // way to the caller.
 func (g *Gateway) deadline(req *Request, route *routing.Route) time.Time {
-	patience := req.Patience
+	patience := req.Timeout
 	if patience <= 0 {
-		patience = g.opts.Load().DefaultPatience
+		patience = g.opts.Load().DefaultTimeout
 	}
 	if route.Timeout > 0 {
 		patience = min(patience, route.Timeout)
 	}
-	return req.Arrived.Add(patience - min(g.opts.Load().AnswerMargin+req.OnTheWay, patience/onTheWayPart))
+	return req.Arrived.Add(patience - min(g.opts.Load().AnswerMargin+req.NetworkDelay, patience/onTheWayPart))
 }
 
 // refuse answers a request that ran nowhere.
@@ -303,7 +303,7 @@
 func (g *Gateway) callerLeft(req *Request, route *routing.Route) Answer {
 	g.stats.left()
 	g.log.Decision("caller_left", req.about(route.Name, oplog.Fields{"after_ms": time.Since(req.Arrived).Milliseconds()}))
-	return Answer{Code: errcode.CallerLeft}
+	return Answer{Code: errcode.CallerDisconnected}
 }
 
 // noteSecond records that another leaf of a service, or shard, is asked.
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -26,8 +26,8 @@
 func (s *scripted) Probe(context.Context, replica.Leaf, string, time.Time) bool {
 	return false
 }
-func (s *scripted) Forget(string)    {}
-func (s *scripted) Restarted(string) {}
+func (s *scripted) RemoveLeaf(string)    {}
+func (s *scripted) HandleRestart(string) {}
 
 // answered is a good reply at once.
 func answered(_ context.Context, call LeafCall) LeafReply {
@@ -47,7 +47,7 @@
 			AnswerMargin: 5 * time.Millisecond, PartialAnswers: true, HedgeAtTypical: 2.5,
 			HedgeAtTarget: 0.25, HedgeLeast: 15 * time.Millisecond, UsefulTarget: 1, LeastChance: 0.25,
 		},
-		MaxInFlight: 100, Workers: 10000, DefaultPatience: 2 * time.Second,
+		MaxInFlight: 100, Workers: 10000, DefaultTimeout: 2 * time.Second,
 		AnswerMargin: 5 * time.Millisecond, RetryAfter: 300 * time.Millisecond,
 	}
 	g, err := New(opts, table, &scripted{answer}, log, NewStats(metrics.NewSet()))
@@ -126,7 +126,7 @@
 		{900, 200, 1000, 50, 750},
 		{10, 0, 1000, 0, 985},
 	} {
-		req := &Request{Arrived: arrived, OnTheWay: tc.way * time.Millisecond, Patience: tc.patience * time.Millisecond}
+		req := &Request{Arrived: arrived, NetworkDelay: tc.way * time.Millisecond, Timeout: tc.patience * time.Millisecond}
 		require.Equal(t, tc.wantSent*time.Millisecond, arrived.Sub(req.sent(tc.target*time.Millisecond)), "%v", tc)
 		require.Equal(t, tc.wantLeft*time.Millisecond, g.deadline(req, &routing.Route{}).Sub(arrived), "%v", tc)
 	}
@@ -180,7 +180,7 @@
 		<-release
 		return LeafReply{Outcome: replica.Answered}
 	})
-	a := g.Handle(context.Background(), &Request{ID: "r", Host: "h", Path: "/all/", Arrived: time.Now(), Patience: 200 * time.Millisecond})
+	a := g.Handle(context.Background(), &Request{ID: "r", Host: "h", Path: "/all/", Arrived: time.Now(), Timeout: 200 * time.Millisecond})
 	require.NotEqual(t, errcode.OK, a.Code)
 	require.False(t, a.Code.NotRun(), "%s", a.Code)
 }
--- a/pkg/gateway/gather.go
+++ b/pkg/gateway/gather.go
@@ -57,7 +57,7 @@
 	trial := admission.Verdict == quarantine.Suspect
 	query := fanout.New(g.table, route, g.opts.Load().Fanout, fanout.Timing{
 		Start: req.sent(route.TargetLatency), HardEnd: end,
-		Returned: g.patience.Returned(route.Name, req.Patience),
+		Returned: g.patience.Returned(route.Name, req.Timeout),
 		Suspect:  trial, SuspectOf: admission.Service,
 	})
 	sends, refusal := query.Start(time.Now())
@@ -75,7 +75,7 @@
 		replies: make(chan []arrival, len(route.Shards)*fanout.MaxAttempts),
 		shards:  make([]ShardAnswer, len(route.Shards)),
 	}
-	if g.opts.Load().EndLosers {
+	if g.opts.Load().CancelLosingCalls {
 		run.losers = make([]context.CancelFunc, len(route.Shards))
 	}
 	if query.Held(time.Now()) > 0 {
@@ -248,7 +248,7 @@
 	s := &r.shards[a.shard]
 	switch {
 	case a.reply.Outcome != replica.Answered:
-		s.Last = &a.reply
+		s.LastFailure = &a.reply
 	case s.Reply == nil || a.merged:
 		// Merged records take the place of an earlier reply, which stands alone.
 		s.Reply = &a.reply
@@ -272,7 +272,7 @@
 		r.withdraw()
 	}
 	r.g.stats.overAttempts(r.query.OverAttempts())
-	if r.req.TakenBack {
+	if r.req.HandoffTimedOut {
 		r.logAsked()
 	}
 	a.Shards = lacks(r.query, r.shards)
@@ -286,7 +286,7 @@
 // lacks notes why shards without a part have none.
 func lacks(query *fanout.Query, shards []ShardAnswer) []ShardAnswer {
 	for i := range shards {
-		shards[i].Lack = query.Lack(i)
+		shards[i].MissingReason = query.Lack(i)
 	}
 	return shards
 }
@@ -302,7 +302,7 @@
 	}
 	switch {
 	case r.query.GivenUp() && (r.query.Ran() || r.query.InFlight()):
-		a.Code = errcode.LeafsEnded
+		a.Code = errcode.LeafsCrashed
 	case !r.query.Ran() && !r.query.InFlight():
 		// What is in flight may still run: its caller must not be told that nothing did.
 		a.Code = errcode.ShardsUnavailable
--- a/pkg/gateway/gatherers.go
+++ b/pkg/gateway/gatherers.go
@@ -17,9 +17,9 @@
 // hardly a query is refused and most are late. Run by a few instances, the queries of a
 // zone share what each of them has shown.
 type Gatherers interface {
-	// Ask hands a query on. ok is false where nobody took it, or this instance is to run
+	// Delegate hands a query on. ok is false where nobody took it, or this instance is to run
 	// it itself: nothing has run then.
-	Ask(ctx context.Context, q GatherQuery) (a Answer, ok bool)
+	Delegate(ctx context.Context, q GatherQuery) (a Answer, ok bool)
 }
 
 // GatherQuery is a query that may be handed on.
@@ -30,8 +30,8 @@
 	// another one declines: an older one could bring back what a caller has seen
 	// replaced, and an answer names the shards of one version.
 	ConfigVersion int64
-	// End is when the final answer must be on its way.
-	End time.Time
+	// Deadline is when the final answer must be on its way.
+	Deadline time.Time
 }
 
 // UseGatherers lets queries of this instance be run by others of its zone. It is called
@@ -43,7 +43,7 @@
 	if g.gatherers == nil || !g.table.AtHome(route.Name) {
 		return g.gather(ctx, req, route, end)
 	}
-	a, ok := g.gatherers.Ask(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, End: end})
+	a, ok := g.gatherers.Delegate(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, Deadline: end})
 	if !ok {
 		return g.gather(ctx, req, route, end)
 	}
@@ -56,7 +56,7 @@
 	switch {
 	case a.Code == errcode.OK:
 		return
-	case a.Code == errcode.CallerLeft:
+	case a.Code == errcode.CallerDisconnected:
 		g.callerLeft(req, route)
 		return
 	case a.Code.NotRun():
--- a/pkg/gateway/gatherers_test.go
+++ b/pkg/gateway/gatherers_test.go
@@ -13,7 +13,7 @@
 // scriptedGatherers answers queries as a test says.
 type scriptedGatherers func(q GatherQuery) (Answer, bool)
 
-func (f scriptedGatherers) Ask(_ context.Context, q GatherQuery) (Answer, bool) { return f(q) }
+func (f scriptedGatherers) Delegate(_ context.Context, q GatherQuery) (Answer, bool) { return f(q) }
 
 // A gatherer's answer is the caller's; what it declines is run here.
 func TestQueriesAreHandedOn(t *testing.T) {
@@ -38,7 +38,7 @@
 // Cause it guards against: running it under another version than its instance's.
 func TestQueriesOfAnotherVersionAreDeclined(t *testing.T) {
 	g := newGateway(t, 2, answered)
-	req := &Request{ID: "r", Host: "h", Path: "/all/x", Arrived: time.Now(), Patience: time.Minute}
+	req := &Request{ID: "r", Host: "h", Path: "/all/x", Arrived: time.Now(), Timeout: time.Minute}
 	taken := 0
 	for _, version := range []int64{g.version() - 1, g.version() + 1} {
 		_, ok := g.Gather(t.Context(), req, version, func() bool { taken++; return true })
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -25,7 +25,7 @@
 	}
 	a.Shards = make([]ShardAnswer, len(route.Shards))
 	for i := range a.Shards {
-		a.Shards[i].Lack = fanout.Withheld
+		a.Shards[i].MissingReason = fanout.Withheld
 	}
 	return a
 }
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -46,7 +46,7 @@
 		attempts            int
 		firstCode, lastCode errcode.Code
 	}{
-		{"/all/deadly", 20, 2, errcode.LeafsEnded, errcode.LeafsEnded},
+		{"/all/deadly", 20, 2, errcode.LeafsCrashed, errcode.LeafsCrashed},
 		{"/one/deadly", 2, 2, errcode.LeafFailed, errcode.LeafFailed},
 		{"/hold/deadly", 1, 3, errcode.OutcomeUnknown, errcode.OutcomeUnknown},
 	} {
@@ -87,7 +87,7 @@
 	})
 	require.Equal(t, errcode.OK, attempt(g, "/all/deadly").Code, "the least share is covered")
 	require.EqualValues(t, 2, ended.Load())
-	require.Equal(t, errcode.LeafsEnded, attempt(g, "/all/deadly").Code)
+	require.Equal(t, errcode.LeafsCrashed, attempt(g, "/all/deadly").Code)
 	require.Equal(t, errcode.Quarantined, attempt(g, "/all/deadly").Code)
 	require.EqualValues(t, 3, ended.Load())
 }
@@ -125,7 +125,7 @@
 			if told {
 				go g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
 			}
-			require.Contains(t, []errcode.Code{errcode.LeafsEnded, errcode.Quarantined}, attempt(g, "/all/deadly").Code)
+			require.Contains(t, []errcode.Code{errcode.LeafsCrashed, errcode.Quarantined}, attempt(g, "/all/deadly").Code)
 			want := int64(17)
 			if told {
 				want = withdrawn.Load() // However many had been sent.
@@ -141,11 +141,11 @@
 	g := newGateway(t, 20, deadlyLeafs(&calls))
 	key := quarantine.KeyOf("/all/deadly")
 	g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
-	a, ok := g.Gather(t.Context(), &Request{ID: "r", Key: key, Host: "h", Path: "/all/deadly", Arrived: time.Now(), Patience: time.Minute}, g.version(), func() bool { return true })
+	a, ok := g.Gather(t.Context(), &Request{ID: "r", Key: key, Host: "h", Path: "/all/deadly", Arrived: time.Now(), Timeout: time.Minute}, g.version(), func() bool { return true })
 	require.True(t, ok, "declined, the other instance would run it")
 	require.Equal(t, errcode.Quarantined, a.Code)
 	require.Len(t, a.Shards, 20)
-	require.Equal(t, fanout.Withheld, a.Shards[0].Lack)
+	require.Equal(t, fanout.Withheld, a.Shards[0].MissingReason)
 	require.Zero(t, calls.Load())
 }
 
@@ -162,8 +162,8 @@
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, leave)
-	a := g.Handle(ctx, &Request{ID: "r", Key: key, Host: "h", Path: "/all/x", Arrived: time.Now(), Patience: time.Minute})
-	require.Equal(t, errcode.CallerLeft, a.Code)
+	a := g.Handle(ctx, &Request{ID: "r", Key: key, Host: "h", Path: "/all/x", Arrived: time.Now(), Timeout: time.Minute})
+	require.Equal(t, errcode.CallerDisconnected, a.Code)
 	require.Equal(t, quarantine.Quarantined, g.quarantine.Verdict(key, time.Now()))
 	require.Equal(t, quarantine.Suspect, g.quarantine.Verdict(key, time.Now().Add(10*time.Second)))
 }
--- a/pkg/gateway/single.go
+++ b/pkg/gateway/single.go
@@ -184,7 +184,7 @@
 		return Answer{Code: errcode.OK, Relayed: &r.last}
 	}
 	a := r.unanswered()
-	a.Last = &r.last
+	a.LastFailure = &r.last
 	return a
 }
 
--- a/pkg/gateway/tick.go
+++ b/pkg/gateway/tick.go
@@ -22,7 +22,7 @@
 // silent are marked and probed, and isolation is noticed.
 func (g *Gateway) Tick(now time.Time) {
 	for _, id := range g.table.Sweep(now) {
-		g.leafs.Forget(id)
+		g.leafs.RemoveLeaf(id)
 		g.log.State("leaf_gone", oplog.Fields{"leaf": id, "reason": "not back after the store's return"})
 	}
 	for _, zone := range g.table.SuspectZones(now) {
--- a/pkg/leafconn/leafconn_test.go
+++ b/pkg/leafconn/leafconn_test.go
@@ -57,7 +57,7 @@
 func anyReply(*Reply) error { return nil }
 
 // send makes one call with the given time.
-func send(p *Pool, addr string, within time.Duration) (*Reply, Fate, error) {
+func send(p *Pool, addr string, within time.Duration) (*Reply, Outcome, error) {
 	return p.RoundTrip(context.Background(), "leaf", addr, request(), time.Now().Add(within), anyReply)
 }
 
@@ -78,7 +78,7 @@
 	type leafFunc = func(net.Conn, func() *http.Request)
 	for name, tc := range map[string]struct {
 		leaf  leafFunc
-		want  Fate
+		want  Outcome
 		dials int64
 	}{
 		"kept":               {answerAll(okReply), Replied, 1},
@@ -86,14 +86,14 @@
 		"leaf asks to close": {answerAll("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), Replied, 2},
 		"bytes behind":       {answerAll(okReply + okReply), Replied, 2},
 		"no idle time":       {answerAll("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1, max=5\r\nContent-Length: 0\r\n\r\n"), Replied, 1},
-		"garbage":            {answerAll("no http\r\n\r\n"), Lost, 2},
-		"too large":          {answerAll("HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n" + fmt.Sprintf("%01001d", 0)), Lost, 2},
-		"closes unanswered":  {func(_ net.Conn, next func() *http.Request) { next() }, LostNew, 2},
+		"garbage":            {answerAll("no http\r\n\r\n"), ReplyLost, 2},
+		"too large":          {answerAll("HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n" + fmt.Sprintf("%01001d", 0)), ReplyLost, 2},
+		"closes unanswered":  {func(_ net.Conn, next func() *http.Request) { next() }, ReplyLostOnNewConn, 2},
 		"breaks off": {func(conn net.Conn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
-		}, Lost, 2},
-		"silent": {func(_ net.Conn, next func() *http.Request) { next(); next() }, Unanswered, 2},
+		}, ReplyLost, 2},
+		"silent": {func(_ net.Conn, next func() *http.Request) { next(); next() }, TimedOut, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pool()
@@ -118,15 +118,15 @@
 		close(reached)
 		next()
 	})
-	fate := make(chan Fate, 1)
+	fate := make(chan Outcome, 1)
 	go func() {
 		_, got, _ := send(p, addr, time.Minute)
 		fate <- got
 	}()
 	<-reached
-	p.LoseLeaf("other")
-	p.LoseLeaf("leaf")
-	require.Equal(t, Lost, <-fate, "it may have run")
+	p.CloseAll("other")
+	p.CloseAll("leaf")
+	require.Equal(t, ReplyLost, <-fate, "it may have run")
 	require.Zero(t, p.Stats.OpenConns.Load())
 	require.Empty(t, p.busy)
 }
@@ -147,7 +147,7 @@
 	wrong := errors.New("other request")
 	_, fate, err := p.RoundTrip(context.Background(), "leaf", addr, request(), time.Now().Add(time.Second), func(*Reply) error { return wrong })
 	require.ErrorIs(t, err, wrong)
-	require.Equal(t, Lost, fate)
+	require.Equal(t, ReplyLost, fate)
 	require.Zero(t, p.Stats.OpenConns.Load())
 }
 
@@ -227,7 +227,7 @@
 	require.EqualValues(t, 2, p.Stats.OpenConns.Load())
 	close(silent)
 	_, fate, _ := send(p, addr, 50*time.Millisecond)
-	require.Equal(t, Unanswered, fate)
+	require.Equal(t, TimedOut, fate)
 	require.Zero(t, p.Stats.OpenConns.Load())
 }
 
@@ -242,7 +242,7 @@
 	require.Zero(t, p.Stats.OpenConns.Load())
 	_, _, err = send(p, addr, time.Second)
 	require.NoError(t, err)
-	p.DropLeaf("leaf")
+	p.CloseIdle("leaf")
 	require.Zero(t, p.Stats.OpenConns.Load())
 }
 
@@ -282,6 +282,6 @@
 		}()
 		_, fate, err := send(pool(), ln.Addr().String(), time.Minute)
 		require.Error(t, err)
-		require.Equal(t, ends, fate == LeafEnded, "fate %d", fate)
+		require.Equal(t, ends, fate == LeafCrashed, "fate %d", fate)
 	}
 }
--- a/pkg/leafconn/pool.go
+++ b/pkg/leafconn/pool.go
@@ -181,8 +181,8 @@
 	_ = c.Close() // Nothing is buffered for writing; an error changes nothing.
 }
 
-// DropLeaf closes the idle connections to a leaf.
-func (p *Pool) DropLeaf(leaf string) {
+// CloseIdle closes the idle connections to a leaf.
+func (p *Pool) CloseIdle(leaf string) {
 	p.mu.Lock()
 	list := p.idle[leaf]
 	delete(p.idle, leaf)
@@ -192,13 +192,13 @@
 	}
 }
 
-// LoseLeaf ends all connections to a leaf, also those with a request on them.
+// CloseAll ends all connections to a leaf, also those with a request on them.
 //
 // A leaf that crashed behind a cut and started again never answers what was in flight,
 // and its old connections stay silent without an error; one notices callers that wait
 // to their deadline for a leaf that has long been back.
-func (p *Pool) LoseLeaf(leaf string) {
-	p.DropLeaf(leaf)
+func (p *Pool) CloseAll(leaf string) {
+	p.CloseIdle(leaf)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.busy[leaf] {
--- a/pkg/leafconn/quiet.go
+++ b/pkg/leafconn/quiet.go
@@ -14,5 +14,5 @@
 		return false
 	}
 	state := sock.Peek(c.Conn)
-	return state == sock.Quiet || state == sock.Unknown
+	return state == sock.Idle || state == sock.Unknown
 }
--- a/pkg/leafconn/roundtrip.go
+++ b/pkg/leafconn/roundtrip.go
@@ -16,27 +16,27 @@
 	"github.com/indigoyoke/indigoyoke/pkg/sock"
 )
 
-// Fate is what is certain about a request that brought no reply.
-type Fate int
+// Outcome is what is certain about a request that brought no reply.
+type Outcome int
 
 const (
 	// Replied: a whole reply was read.
-	Replied Fate = iota
+	Replied Outcome = iota
 	// NotSent: no byte of the request left; it did not run.
 	NotSent
-	// Lost: the request was sent, and the connection ended or brought no
+	// ReplyLost: the request was sent, and the connection ended or brought no
 	// valid reply; it may have run.
-	Lost
-	// LostNew: the same, where the leaf ended a connection that had carried no
+	ReplyLost
+	// ReplyLostOnNewConn: the same, where the leaf ended a connection that had carried no
 	// reply yet, without a word.
-	LostNew
-	// Unanswered: the request was sent, and nothing came in time.
-	Unanswered
+	ReplyLostOnNewConn
+	// TimedOut: the request was sent, and nothing came in time.
+	TimedOut
 	// Cancelled: given up by the caller's context.
 	Cancelled
-	// LeafEnded: the request was sent, the connection ended, and nothing listens at the
+	// LeafCrashed: the request was sent, the connection ended, and nothing listens at the
 	// leaf's address any more: its process ended while it had the request.
-	LeafEnded
+	LeafCrashed
 )
 
 // Reply is a whole reply. Close-delimited bodies that ended with a reset are
@@ -53,7 +53,7 @@
 // RoundTrip sends one request to a leaf and reads its reply until readBy. The
 // connection is kept only after a whole, valid reply with nothing behind it;
 // valid says whether the reply belongs to this request.
-func (p *Pool) RoundTrip(ctx context.Context, leaf, addr string, req *http.Request, readBy time.Time, valid func(*Reply) error) (*Reply, Fate, error) {
+func (p *Pool) RoundTrip(ctx context.Context, leaf, addr string, req *http.Request, readBy time.Time, valid func(*Reply) error) (*Reply, Outcome, error) {
 	now := time.Now()
 	c, err := p.get(ctx, leaf, addr, now)
 	if err != nil {
@@ -65,13 +65,13 @@
 	reply, fate, err := p.exchange(ctx, c, req, readBy, valid)
 	if err != nil {
 		p.close(c)
-		if fate == Unanswered {
+		if fate == TimedOut {
 			// Connections can go silent without an error; the leaf's other
 			// idle ones are suspected with it, at the price of new ones.
-			p.DropLeaf(leaf)
+			p.CloseIdle(leaf)
 		}
-		if (fate == Lost || fate == LostNew) && ended(err) && sock.Refuses(ctx, addr, sock.RefusedWithin) {
-			fate = LeafEnded
+		if (fate == ReplyLost || fate == ReplyLostOnNewConn) && ended(err) && sock.RefusesConnections(ctx, addr, sock.RefusalTimeout) {
+			fate = LeafCrashed
 		}
 		return nil, fate, err
 	}
@@ -80,7 +80,7 @@
 
 // exchange writes the request and reads the reply on c, and keeps c if it can
 // be used again. On an error the caller closes c.
-func (p *Pool) exchange(ctx context.Context, c *conn, req *http.Request, readBy time.Time, valid func(*Reply) error) (*Reply, Fate, error) {
+func (p *Pool) exchange(ctx context.Context, c *conn, req *http.Request, readBy time.Time, valid func(*Reply) error) (*Reply, Outcome, error) {
 	if err := c.SetDeadline(readBy); err != nil {
 		return nil, NotSent, err
 	}
@@ -97,7 +97,7 @@
 	}
 	if err := valid(reply); err != nil {
 		p.Stats.StrayDrops.Add(1)
-		return nil, Lost, err
+		return nil, ReplyLost, err
 	}
 	if !stop() {
 		keep = false
@@ -111,16 +111,16 @@
 }
 
 // fate tells a time-out and a cancellation from a lost connection.
-func (c *conn) fate(ctx context.Context, err error) Fate {
+func (c *conn) fate(ctx context.Context, err error) Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Unanswered
+		return TimedOut
 	case !c.proven && ended(err):
-		return LostNew
+		return ReplyLostOnNewConn
 	}
-	return Lost
+	return ReplyLost
 }
 
 // ended reports whether err says that the peer ended the connection.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -31,7 +31,7 @@
 	// ReadyPath is where the balancer asks whether the instance is ready.
 	ReadyPath string
 	Source    func(storeAddress string, log *oplog.Log) discovery.Source
-	Leafs     func(pool *leafconn.Pool) gateway.Leafs
+	Leafs     func(pool *leafconn.Pool) gateway.LeafClient
 	Door      func(g *gateway.Gateway, log *oplog.Log) http.Handler
 	// Peers translates for peers; nil: instances work alone.
 	Peers peers.Codec
@@ -56,7 +56,7 @@
 	front    *front.Server
 	status   *statusServers
 	draining atomic.Bool
-	leafs    gateway.Leafs
+	leafs    gateway.LeafClient
 	peering  *peering
 	started  time.Time
 	cancel   context.CancelFunc
@@ -135,9 +135,9 @@
 			UsefulTarget: set.Answer.UsefulTarget, LeastChance: set.Answer.LeastChance, LateWait: set.Answer.LateWait, HeldChance: set.Answer.HeldChance, HeldWait: set.Answer.HeldWait,
 		},
 		MaxInFlight: set.Limits.MaxInFlight, Workers: set.Limits.Workers,
-		DefaultPatience: settings.Duration(set.Answer.DefaultPatienceMs),
-		AnswerMargin:    margin,
-		ColdFactor:      set.Bounds.ColdFactor, ColdSlack: set.Bounds.ColdSlack,
+		DefaultTimeout: settings.Duration(set.Answer.DefaultPatienceMs),
+		AnswerMargin:   margin,
+		ColdFactor:     set.Bounds.ColdFactor, ColdSlack: set.Bounds.ColdSlack,
 		RetryAfter: settings.Duration(set.Answer.RetryAfterMs),
 	}
 }
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -38,7 +38,7 @@
 		_ = ln.Close() // The first error says more.
 		return nil, err
 	}
-	server, err := peers.NewServer(front.Resilient(ln), n.table, n.leafs, n.gateway, codec, set.Limits.Workers, set.Limits.MaxPeerConnections, n.log)
+	server, err := peers.NewServer(front.RetryAccept(ln), n.table, n.leafs, n.gateway, codec, set.Limits.Workers, set.Limits.MaxPeerConnections, n.log)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/node/sink.go
+++ b/pkg/node/sink.go
@@ -17,9 +17,9 @@
 	}
 	switch change {
 	case replica.Moved:
-		n.leafs.Forget(leaf.ID)
+		n.leafs.RemoveLeaf(leaf.ID)
 	case replica.Reborn:
-		n.leafs.Restarted(leaf.ID)
+		n.leafs.HandleRestart(leaf.ID)
 	}
 	fields := oplog.Fields{
 		"leaf": leaf.ID, "services": leaf.Services, "leaf_zone": leaf.Zone, "sequence": leaf.Sequence,
@@ -40,7 +40,7 @@
 
 // forget releases what is held for a leaf that is out of use.
 func (n *Node) forget(id, reason string) {
-	n.leafs.Forget(id)
+	n.leafs.RemoveLeaf(id)
 	n.log.Decision("leaf_gone", oplog.Fields{"leaf": id, "reason": reason})
 }
 
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -24,7 +24,7 @@
 // the control and metrics addresses.
 func (n *Node) newStatusServers(set *settings.Node, readyPath string) (*statusServers, error) {
 	s := &statusServers{}
-	resilient := func(ln net.Listener) net.Listener { return front.Resilient(ln) }
+	resilient := func(ln net.Listener) net.Listener { return front.RetryAccept(ln) }
 	for _, addr := range []string{set.Listen.Readiness, set.Listen.Control, set.Listen.Metrics} {
 		if addr == "" {
 			continue
@@ -132,8 +132,8 @@
 		return 0
 	})
 	gauge("node_requests_in_flight", func() float64 { return float64(n.gateway.InFlight()) })
-	gauge("node_caller_connections_open", func() float64 { return float64(n.front.Open()) })
-	gauge("node_caller_connections_turned", func() float64 { return float64(n.front.Turned()) })
+	gauge("node_caller_connections_open", func() float64 { return float64(n.front.OpenConns()) })
+	gauge("node_caller_connections_turned", func() float64 { return float64(n.front.RejectedConns()) })
 	gauge("node_leaf_connections_open", func() float64 { return float64(n.pool.Stats.OpenConns.Load()) })
 	gauge("node_leaf_dials", func() float64 { return float64(n.pool.Stats.Dials.Load()) })
 	gauge("node_leaf_dial_errors", func() float64 { return float64(n.pool.Stats.DialErrors.Load()) })
--- a/pkg/peers/ask.go
+++ b/pkg/peers/ask.go
@@ -103,8 +103,8 @@
 	req := q.Request
 	f := query{
 		Number: c.number, Request: c.texts.encode(req.ID, c.codec.Request(req.Content)), ConfigVersion: q.ConfigVersion,
-		AgeUs: uint64(time.Since(req.Arrived).Microseconds()), WayUs: uint64((req.OnTheWay + c.hopLocked()).Microseconds()),
-		PatienceUs: uint64(req.Patience.Microseconds()),
+		AgeUs: uint64(time.Since(req.Arrived).Microseconds()), WayUs: uint64((req.NetworkDelay + c.hopLocked()).Microseconds()),
+		PatienceUs: uint64(req.Timeout.Microseconds()),
 	}
 	if err := c.writeLocked(kindQuery, f); err != nil {
 		go c.end(err)
@@ -157,8 +157,8 @@
 	p.log.Decision("query_taken_late", oplog.Fields{"request": request, "peer": c.peer.Name})
 }
 
-// Ask implements gateway.Gatherers.
-func (p *Peers) Ask(ctx context.Context, q gateway.GatherQuery) (gateway.Answer, bool) {
+// Delegate implements gateway.Gatherers.
+func (p *Peers) Delegate(ctx context.Context, q gateway.GatherQuery) (gateway.Answer, bool) {
 	c := p.gatherer(time.Now())
 	if c == nil {
 		return gateway.Answer{}, false
@@ -209,7 +209,7 @@
 			}
 		case <-ctx.Done():
 			w.c.drop(w.number)
-			return gateway.Answer{Code: errcode.CallerLeft}, true
+			return gateway.Answer{Code: errcode.CallerDisconnected}, true
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	}
 	switch {
 	case w.offer.refused():
-		w.query.Request.TakenBack = true
+		w.query.Request.HandoffTimedOut = true
 		w.c.takeBack(w.number, w.query.Request.ID)
 		w.p.log.Decision("query_taken_back", oplog.Fields{
 			"request": w.query.Request.ID, "route": w.query.Route.Name, "peer": w.c.peer.Name,
@@ -257,7 +257,7 @@
 		})
 		w.p.silent(w.c)
 		return a, false, true
-	case now.After(w.query.End.Add(answerSlack)):
+	case now.After(w.query.Deadline.Add(answerSlack)):
 		w.c.drop(w.number)
 		return gateway.Answer{Code: errcode.RequestTimeout}, true, true
 	}
@@ -266,7 +266,7 @@
 		w.c.end(errPeerBeats)
 		return w.lost(), true, true
 	}
-	next := min(beatsMissed-silent, max(w.query.End.Add(answerSlack).Sub(now), time.Millisecond))
+	next := min(beatsMissed-silent, max(w.query.Deadline.Add(answerSlack).Sub(now), time.Millisecond))
 	w.due = now.Add(next)
 	timer.Reset(next)
 	return a, false, false
@@ -300,8 +300,8 @@
 	a.Shards = make([]gateway.ShardAnswer, len(f.Lacks))
 	proofs, body := f.Proofs, f.Body
 	for i, lack := range f.Lacks {
-		a.Shards[i].Lack = fanout.Lack(lack)
-		if a.Shards[i].Lack != fanout.Covered || a.Code != errcode.OK {
+		a.Shards[i].MissingReason = fanout.Lack(lack)
+		if a.Shards[i].MissingReason != fanout.Covered || a.Code != errcode.OK {
 			continue
 		}
 		if len(proofs) == 0 {
--- a/pkg/peers/conn.go
+++ b/pkg/peers/conn.go
@@ -104,7 +104,7 @@
 	for i := range p.open {
 		p.open[i] = true
 	}
-	p.timer = time.AfterFunc(b.Flush+silence, func() { c.overdue(number, b.Deadline) })
+	p.timer = time.AfterFunc(b.FlushAfter+silence, func() { c.overdue(number, b.Deadline) })
 	c.pending[number] = p
 	if err := c.writeLocked(kindBatch, c.frame(number, b, now)); err != nil {
 		// A part of the frame may have left: whether it ran is not known.
@@ -118,7 +118,7 @@
 	f := batch{
 		Number: number, Request: c.texts.encode(b.Request.ID, c.codec.Request(b.Request.Content)),
 		LeftMs:  uint32(max(b.Deadline.Sub(now).Milliseconds(), 1)),
-		FlushUs: uint32(b.Flush.Microseconds()), StepUs: uint32(b.Step.Microseconds()), TopK: uint32(b.Route.TopK),
+		FlushUs: uint32(b.FlushAfter.Microseconds()), StepUs: uint32(b.FlushInterval.Microseconds()), TopK: uint32(b.Route.TopK),
 	}
 	for _, call := range b.Calls {
 		f.Leafs = append(f.Leafs, c.texts.ref(leafText(call.Leaf)))
--- a/pkg/peers/handover_test.go
+++ b/pkg/peers/handover_test.go
@@ -94,7 +94,7 @@
 		<-reached
 		p.there.shut.Store(true) // What this instance says next comes late.
 	}()
-	_, ok := b.agent.Ask(t.Context(), gatherQuery())
+	_, ok := b.agent.Delegate(t.Context(), gatherQuery())
 	require.False(t, ok, "nobody has said in time that it takes the query: it is run here")
 	p.back.shut.Store(false)
 	p.there.shut.Store(false)
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -62,8 +62,8 @@
 	return f.do(ctx, call)
 }
 func (f *fakeLeafs) Probe(context.Context, replica.Leaf, string, time.Time) bool { return true }
-func (f *fakeLeafs) Forget(string)                                               {}
-func (f *fakeLeafs) Restarted(string)                                            {}
+func (f *fakeLeafs) RemoveLeaf(string)                                           {}
+func (f *fakeLeafs) HandleRestart(string)                                        {}
 
 func (f *fakeLeafs) calls() []gateway.LeafCall {
 	f.mu.Lock()
@@ -132,7 +132,7 @@
 	return gateway.Batch{
 		Request: &gateway.Request{ID: "r1", Content: Request{Method: "GET", Target: "/x?y", Host: "h", Header: header, Body: []byte("b")}},
 		Route:   &routing.Route{TopK: 3}, Zone: "z2", Calls: calls,
-		Deadline: time.Now().Add(2 * time.Second), Flush: flush, Step: time.Millisecond,
+		Deadline: time.Now().Add(2 * time.Second), FlushAfter: flush, FlushInterval: time.Millisecond,
 	}
 }
 
@@ -457,7 +457,7 @@
 	}
 	require.Len(t, a.Shards, 2)
 	for _, shard := range a.Shards {
-		require.NotEmpty(t, shard.Lack.String())
-		require.Equal(t, a.Code == errcode.OK && shard.Lack == fanout.Covered, shard.Reply != nil)
+		require.NotEmpty(t, shard.MissingReason.String())
+		require.Equal(t, a.Code == errcode.OK && shard.MissingReason == fanout.Covered, shard.Reply != nil)
 	}
 }
--- a/pkg/peers/queries.go
+++ b/pkg/peers/queries.go
@@ -77,7 +77,7 @@
 	content := c.s.codec.Content(request)
 	req := &gateway.Request{
 		ID: q.Request.ID, Key: c.s.codec.Key(content), Host: request.Host, Path: path, Content: content,
-		Arrived: now.Add(-micros(q.AgeUs)), OnTheWay: micros(q.WayUs), Patience: micros(q.PatienceUs),
+		Arrived: now.Add(-micros(q.AgeUs)), NetworkDelay: micros(q.WayUs), Timeout: micros(q.PatienceUs),
 	}
 	ctx, end := c.begin(q.Number)
 	h := c.expectGrant(q.Number)
@@ -155,7 +155,7 @@
 	f := answer{Number: number, Code: uint16(a.Code), RetryAfterUs: uint64(a.RetryAfter.Microseconds()), Lacks: make([]byte, len(a.Shards))}
 	var bodies [][]byte
 	for i, shard := range a.Shards {
-		f.Lacks[i] = byte(shard.Lack)
+		f.Lacks[i] = byte(shard.MissingReason)
 		if shard.Reply == nil || a.Code != errcode.OK {
 			continue
 		}
--- a/pkg/peers/queries_test.go
+++ b/pkg/peers/queries_test.go
@@ -44,10 +44,10 @@
 // gatherQuery is a query over two shards.
 func gatherQuery() gateway.GatherQuery {
 	req := message(0, nil).Request
-	req.Arrived, req.Patience, req.OnTheWay = time.Now(), 3*time.Second, 2*time.Millisecond
+	req.Arrived, req.Timeout, req.NetworkDelay = time.Now(), 3*time.Second, 2*time.Millisecond
 	return gateway.GatherQuery{
 		Request: req, Route: &routing.Route{Name: "r", Kind: routing.Gather, Shards: []string{"s", "t"}, TopK: 3},
-		ConfigVersion: 7, End: time.Now().Add(2900 * time.Millisecond),
+		ConfigVersion: 7, Deadline: time.Now().Add(2900 * time.Millisecond),
 	}
 }
 
@@ -56,7 +56,7 @@
 	reply := gateway.LeafReply{Outcome: replica.Answered, Content: textReply{"p-t", []byte("rows")}}
 	return gateway.Answer{
 		Route:  &routing.Route{TopK: 3},
-		Shards: []gateway.ShardAnswer{{Lack: fanout.Failed}, {Reply: &reply, Lack: fanout.Covered}},
+		Shards: []gateway.ShardAnswer{{MissingReason: fanout.Failed}, {Reply: &reply, MissingReason: fanout.Covered}},
 	}
 }
 
@@ -67,9 +67,9 @@
 		require.Equal(t, "r1", req.ID)
 		require.Equal(t, "/x", req.Path)
 		require.Equal(t, message(0, nil).Request.Content, req.Content)
-		require.Equal(t, 3*time.Second, req.Patience)
-		require.Greater(t, req.OnTheWay, 2*time.Millisecond, "the way through this instance counts")
-		require.Less(t, req.OnTheWay, 2*time.Millisecond+2*hopMost)
+		require.Equal(t, 3*time.Second, req.Timeout)
+		require.Greater(t, req.NetworkDelay, 2*time.Millisecond, "the way through this instance counts")
+		require.Less(t, req.NetworkDelay, 2*time.Millisecond+2*hopMost)
 		require.WithinDuration(t, time.Now(), req.Arrived, time.Second)
 		if !granted() {
 			return gateway.Answer{}, false
@@ -77,11 +77,11 @@
 		return half(), true
 	})
 	for range 2 {
-		a, ok := b.agent.Ask(t.Context(), gatherQuery())
+		a, ok := b.agent.Delegate(t.Context(), gatherQuery())
 		require.True(t, ok)
 		require.Equal(t, errcode.OK, a.Code)
 		require.Equal(t, 1, a.Missing())
-		require.Equal(t, fanout.Failed, a.Shards[0].Lack)
+		require.Equal(t, fanout.Failed, a.Shards[0].MissingReason)
 		require.Equal(t, textReply{"p-t", []byte("rows")}, a.Shards[1].Reply.Content)
 	}
 	refused := gateway.Answer{Code: errcode.ShardsOverloaded, RetryAfter: 250 * time.Millisecond, Shards: make([]gateway.ShardAnswer, 2)}
@@ -91,7 +91,7 @@
 		}
 		return refused, true
 	})
-	a, ok := b.agent.Ask(t.Context(), gatherQuery())
+	a, ok := b.agent.Delegate(t.Context(), gatherQuery())
 	require.True(t, ok)
 	require.Equal(t, refused.Code, a.Code)
 	require.Equal(t, refused.RetryAfter, a.RetryAfter)
@@ -102,10 +102,10 @@
 	b := newAskBench(t, func(context.Context, *gateway.Request, int64, func() bool) (gateway.Answer, bool) {
 		return gateway.Answer{}, false
 	})
-	_, ok := b.agent.Ask(t.Context(), gatherQuery())
+	_, ok := b.agent.Delegate(t.Context(), gatherQuery())
 	require.False(t, ok)
 	b.conn.end(net.ErrClosed)
-	_, ok = b.agent.Ask(t.Context(), gatherQuery())
+	_, ok = b.agent.Delegate(t.Context(), gatherQuery())
 	require.False(t, ok, "nor is one that no peer is there for")
 }
 
@@ -143,10 +143,10 @@
 	c := b.dial(ln.Addr().String())
 	c.silent = b.agent.silent
 	b.agent.conns["peer"] = c
-	_, ok := b.agent.Ask(t.Context(), gatherQuery())
+	_, ok := b.agent.Delegate(t.Context(), gatherQuery())
 	require.False(t, ok)
 	require.Contains(t, b.agent.avoid, "peer")
-	_, ok = b.agent.Ask(t.Context(), gatherQuery())
+	_, ok = b.agent.Delegate(t.Context(), gatherQuery())
 	require.False(t, ok, "it is not asked again for a while")
 	close(wake)
 	require.NoError(t, c.conn.(*net.TCPConn).CloseWrite())
@@ -179,7 +179,7 @@
 				<-started
 				lose(b)
 			}()
-			a, ok := b.agent.Ask(t.Context(), gatherQuery())
+			a, ok := b.agent.Delegate(t.Context(), gatherQuery())
 			require.True(t, ok)
 			require.Equal(t, errcode.PeerLost, a.Code)
 			require.False(t, a.Code.NotRun())
@@ -213,7 +213,7 @@
 		}
 		return half(), true
 	})
-	_, ok := b.agent.Ask(t.Context(), gatherQuery())
+	_, ok := b.agent.Delegate(t.Context(), gatherQuery())
 	require.True(t, ok)
 	require.Contains(t, b.conn.heard.Load().String(), " m=+", "it has a steady reading")
 	require.Less(t, b.conn.silentFor(time.Now()), time.Minute)
@@ -228,7 +228,7 @@
 		time.Sleep(2 * beatsMissed)
 		return half(), true
 	})
-	a, ok := b.agent.Ask(t.Context(), gatherQuery())
+	a, ok := b.agent.Delegate(t.Context(), gatherQuery())
 	require.True(t, ok)
 	require.Equal(t, errcode.OK, a.Code)
 }
@@ -247,9 +247,9 @@
 		close(ended)
 		return gateway.Answer{}, true
 	})
-	a, ok := b.agent.Ask(ctx, gatherQuery())
+	a, ok := b.agent.Delegate(ctx, gatherQuery())
 	require.True(t, ok)
-	require.Equal(t, errcode.CallerLeft, a.Code)
+	require.Equal(t, errcode.CallerDisconnected, a.Code)
 	<-ended
 }
 
--- a/pkg/peers/server.go
+++ b/pkg/peers/server.go
@@ -40,7 +40,7 @@
 	// feeder is nil where peers are not fed.
 	feeder *feeder
 	table  *replica.Table
-	leafs  gateway.Leafs
+	leafs  gateway.LeafClient
 	codec  Codec
 	pool   *ants.Pool
 	log    *oplog.Log
@@ -63,7 +63,7 @@
 
 // NewServer serves on a listener; workers bounds the leaf calls in flight, connsMost the
 // connections. queries may be nil where none are run for peers.
-func NewServer(ln net.Listener, table *replica.Table, leafs gateway.Leafs, queries Queries, codec Codec, workers, connsMost int, log *oplog.Log) (*Server, error) {
+func NewServer(ln net.Listener, table *replica.Table, leafs gateway.LeafClient, queries Queries, codec Codec, workers, connsMost int, log *oplog.Log) (*Server, error) {
 	pool, err := ants.NewPool(workers, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, err
--- a/pkg/sock/refuses.go
+++ b/pkg/sock/refuses.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Refuses reports whether nothing listens at a TCP address: the connection is refused
+// RefusesConnections reports whether nothing listens at a TCP address: the connection is refused
 // within the given time. Silence says nothing.
-func Refuses(ctx context.Context, addr string, within time.Duration) bool {
+func RefusesConnections(ctx context.Context, addr string, within time.Duration) bool {
 	dialer := net.Dialer{Timeout: within}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err == nil {
@@ -20,7 +20,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// RefusedWithin is how long the question may take whether a server that broke a request off
+// RefusalTimeout is how long the question may take whether a server that broke a request off
 // has ended: some round trips between zones, and a late timer on a small processor. Longer, and
 // a request that may be sent to another server waits for it.
-const RefusedWithin = 50 * time.Millisecond
+const RefusalTimeout = 50 * time.Millisecond
--- a/pkg/sock/sock.go
+++ b/pkg/sock/sock.go
@@ -13,8 +13,8 @@
 type State int
 
 const (
-	// Quiet: open, nothing to read.
-	Quiet State = iota
+	// Idle: open, nothing to read.
+	Idle State = iota
 	// Pending: bytes wait to be read.
 	Pending
 	// Closed: the peer has closed or reset the connection, or the socket
@@ -45,9 +45,9 @@
 	_ = raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// RoundTrip is the time to the peer and back as the kernel has smoothed it, 0
+// SmoothedRTT is the time to the peer and back as the kernel has smoothed it, 0
 // where it is not known. It takes one system call.
-func RoundTrip(conn net.Conn) time.Duration {
+func SmoothedRTT(conn net.Conn) time.Duration {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -66,7 +66,7 @@
 	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN:
-		return Quiet
+		return Idle
 	case err == nil && n > 0:
 		return Pending
 	}
--- a/pkg/sock/sock_test.go
+++ b/pkg/sock/sock_test.go
@@ -19,14 +19,14 @@
 	becomes := func(want State) {
 		require.Eventually(t, func() bool { return Peek(near) == want }, 10*time.Second, time.Millisecond)
 	}
-	becomes(Quiet)
+	becomes(Idle)
 	_, err = far.Write([]byte("x"))
 	require.NoError(t, err)
 	becomes(Pending)
 	becomes(Pending)
 	_, err = near.Read(make([]byte, 1))
 	require.NoError(t, err)
-	becomes(Quiet)
+	becomes(Idle)
 	require.NoError(t, far.Close())
 	becomes(Closed)
 	require.NoError(t, near.Close())
--- a/pkg/standin/backend/handoff.go
+++ b/pkg/standin/backend/handoff.go
@@ -58,7 +58,7 @@
 	defer b.mu.Unlock()
 	l, ok := b.leafs[index]
 	if !ok || !l.shards[shard] {
-		return nil, errcode.New(errcode.ShardNotHere, "no leaf of %s/%s", index, shard)
+		return nil, errcode.New(errcode.ShardNotHosted, "no leaf of %s/%s", index, shard)
 	}
 	s := &shardState{Index: index, Shard: shard, Dataset: l.dataset, Beds: map[string]int{}, Holds: map[string]holdRecord{}}
 	for v := range l.snapshots {
--- a/pkg/standin/backend/leaf.go
+++ b/pkg/standin/backend/leaf.go
@@ -153,13 +153,13 @@
 	}
 	l, ok := b.leafs[req.Index]
 	if !ok || !l.shards[req.Shard] {
-		return errcode.ShardNotHere
+		return errcode.ShardNotHosted
 	}
 	if !l.snapshots[req.Snapshot] {
 		return errcode.SnapshotUnavailable
 	}
 	if req.Kind == wire.LeafHold && req.IdempotencyKey == "" {
-		return errcode.MissingIdempotency
+		return errcode.MissingIdempotencyKey
 	}
 	return errcode.OK
 }
