--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -144,7 +144,7 @@
 // step makes the next call or listing and returns how long to pause.
 func (f *Follower) step(ctx context.Context) time.Duration {
 	began := time.Now()
-	if f.relist.Load() || !f.Known() {
+	if f.relist.Load() || !f.HasSnapshot() {
 		if err := f.list(ctx); err != nil {
 			return f.failed(ctx, call{kind: "list", began: began}, err)
 		}
--- a/pkg/discovery/fed.go
+++ b/pkg/discovery/fed.go
@@ -21,15 +21,15 @@
 // the proof before. It is called before Run.
 func (f *Follower) OnProof(gap func(time.Duration)) { f.proofGap = gap }
 
-// Since is what has changed after a position.
-func (f *Follower) Since(after feed.Position) feed.Page {
+// ChangesSince is what has changed after a position.
+func (f *Follower) ChangesSince(after feed.Position) feed.Page {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.book.Since(after, time.Now())
 }
 
-// Known reports whether this instance has all that is published, from any source.
-func (f *Follower) Known() bool {
+// HasSnapshot reports whether this instance has all that is published, from any source.
+func (f *Follower) HasSnapshot() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.book.Known()
@@ -38,19 +38,19 @@
 // Position is the store's as of the latest change that is known.
 func (f *Follower) Position() feed.Position { return *f.position.Load() }
 
-// Proven notes that all is known which the store had published by a time, as another instance says.
-func (f *Follower) Proven(at time.Time) {
+// MarkCurrent notes that all is known which the store had published by a time, as another instance says.
+func (f *Follower) MarkCurrent(at time.Time) {
 	if was, later := advance(&f.provenAt, at); later && was != nil {
 		f.proofGap(at.Sub(*was))
 	}
 }
 
-// Confirmed notes the same where that instance has asked the store itself. Only this is told on: each
+// MarkConfirmed notes the same where that instance has asked the store itself. Only this is told on: each
 // message makes an answer seem younger by the time that it is on its way, so that instances which
 // tell each other what they were told would never see it grow old.
-func (f *Follower) Confirmed(at time.Time) {
+func (f *Follower) MarkConfirmed(at time.Time) {
 	advance(&f.confirmedAt, at)
-	f.Proven(at)
+	f.MarkCurrent(at)
 }
 
 // advance moves a time on unless it is later already, and returns what it was before.
@@ -75,7 +75,7 @@
 func (f *Follower) answered() {
 	at := f.lastGood
 	f.answeredAt.Store(&at)
-	f.Confirmed(at)
+	f.MarkConfirmed(at)
 	f.changed() // Others that read the store need not ask it so soon.
 }
 
@@ -122,8 +122,8 @@
 	}
 }
 
-// TakeFed takes over a page that another instance has sent.
-func (f *Follower) TakeFed(p feed.Page) error {
+// ApplyPage takes over a page that another instance has sent.
+func (f *Follower) ApplyPage(p feed.Page) error {
 	if err := p.Check(); err != nil {
 		return err
 	}
@@ -203,10 +203,10 @@
 // the way between them.
 const contradictedAfter = time.Second
 
-// Contradicted takes over where the store was when it answered another instance at a time. It forgets
+// ResetIfContradicted takes over where the store was when it answered another instance at a time. It forgets
 // what is known if that cannot be: one instance that claimed a position which the store never had
 // would keep this one from all later changes.
-func (f *Follower) Contradicted(store feed.Position, at time.Time) bool {
+func (f *Follower) ResetIfContradicted(store feed.Position, at time.Time) bool {
 	f.mu.Lock()
 	known, risenAt := f.book.Position(), f.risenAt
 	f.mu.Unlock()
--- a/pkg/discovery/fed_test.go
+++ b/pkg/discovery/fed_test.go
@@ -32,8 +32,8 @@
 	f.SetReading(false, longpoll.Group{})
 	changes := 0
 	f.OnChange(func() { changes++ })
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(9), Items: []feed.Item{entry("a", 3), entry("config", 9)}}))
-	require.NoError(t, f.TakeFed(feed.Page{From: at(9), To: at(11), Items: []feed.Item{entry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: at(9), Items: []feed.Item{entry("a", 3), entry("config", 9)}}))
+	require.NoError(t, f.ApplyPage(feed.Page{From: at(9), To: at(11), Items: []feed.Item{entry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
 	require.ElementsMatch(t, []string{"leaf a", "config", "listed", "leaf b", "gone a"}, r.told)
 	require.Equal(t, 2, changes, "those that are fed by it are told")
 	f.SetReading(true, longpoll.Group{})
@@ -52,9 +52,9 @@
 	}
 	f, r := follower(s)
 	f.step(context.Background())
-	require.NoError(t, f.TakeFed(feed.Page{From: at(5), To: at(6), Items: []feed.Item{entry("b", 6)}}))
+	require.NoError(t, f.ApplyPage(feed.Page{From: at(5), To: at(6), Items: []feed.Item{entry("b", 6)}}))
 	f.step(context.Background())
-	require.NoError(t, f.TakeFed(feed.Page{From: at(5), To: at(7), Items: []feed.Item{entry("a", 3), entry("b", 6)}}))
+	require.NoError(t, f.ApplyPage(feed.Page{From: at(5), To: at(7), Items: []feed.Item{entry("a", 3), entry("b", 6)}}))
 	require.Equal(t, []string{"leaf a", "listed", "leaf b"}, r.told)
 }
 
@@ -64,7 +64,7 @@
 	s := &script{}
 	f, r := follower(s)
 	s.onList = func() {
-		require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(8), Items: []feed.Item{entry("a", 3), entry("new", 8)}}))
+		require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: at(8), Items: []feed.Item{entry("a", 3), entry("new", 8)}}))
 	}
 	s.lists = []Page{{Events: []Event{entryEvent("a", 3)}, At: at(5)}}
 	f.step(context.Background())
@@ -83,27 +83,27 @@
 			watches: []func() (Page, error){empty},
 		}
 		f, r := follower(s)
-		require.NoError(t, f.TakeFed(bad))
+		require.NoError(t, f.ApplyPage(bad))
 		require.Zero(t, f.step(context.Background()))
-		require.False(t, f.Known())
+		require.False(t, f.HasSnapshot())
 		f.step(context.Background())
 		require.Equal(t, at(12), f.Position())
 		require.Equal(t, map[string]bool{"b": true}, r.listing.Leafs)
 	})
 	t.Run("by another instance", func(t *testing.T) {
 		f, r := follower(&script{})
-		require.NoError(t, f.TakeFed(bad))
-		require.False(t, f.Contradicted(at(12), time.Now()), "that may be older")
-		require.False(t, f.Contradicted(at(900), time.Now().Add(time.Minute)))
-		require.True(t, f.Contradicted(at(12), time.Now().Add(time.Minute)))
-		require.False(t, f.Known())
-		require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(12), Items: []feed.Item{entry("c", 12)}}))
+		require.NoError(t, f.ApplyPage(bad))
+		require.False(t, f.ResetIfContradicted(at(12), time.Now()), "that may be older")
+		require.False(t, f.ResetIfContradicted(at(900), time.Now().Add(time.Minute)))
+		require.True(t, f.ResetIfContradicted(at(12), time.Now().Add(time.Minute)))
+		require.False(t, f.HasSnapshot())
+		require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: at(12), Items: []feed.Item{entry("c", 12)}}))
 		require.Equal(t, at(12), f.Position())
 		require.Equal(t, map[string]bool{"c": true}, r.listing.Leafs, "what is not there any more is out of use")
 	})
 	f, _ := follower(&script{})
-	require.ErrorIs(t, f.TakeFed(feed.Page{Full: true, To: at(1 << 60)}), feed.ErrPosition)
-	require.False(t, f.Known())
+	require.ErrorIs(t, f.ApplyPage(feed.Page{Full: true, To: at(1 << 60)}), feed.ErrPosition)
+	require.False(t, f.HasSnapshot())
 }
 
 // Symptom: leafs that live are dropped when the store is back. Sequence: it was away for so
@@ -111,15 +111,15 @@
 // from one that could not read it.
 func TestReturnOfTheStoreIsHeardOf(t *testing.T) {
 	f, r := follower(&script{})
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(3), ReturnedMs: 40}))
-	require.NoError(t, f.TakeFed(feed.Page{From: at(3), To: at(4), ReturnedMs: 90}))
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: at(3), ReturnedMs: 40}))
+	require.NoError(t, f.ApplyPage(feed.Page{From: at(3), To: at(4), ReturnedMs: 90}))
 	require.Equal(t, []string{"returned", "listed"}, r.told)
 
 	s := &script{watches: []func() (Page, error){empty}}
 	f, r = follower(s)
 	f.SetReading(false, longpoll.Group{})
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(3)}))
-	f.Proven(time.Now().Add(-time.Minute))
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: at(3)}))
+	f.MarkCurrent(time.Now().Add(-time.Minute))
 	f.SetReading(true, longpoll.Group{})
 	f.idle(context.Background())
 	f.step(context.Background())
--- a/pkg/discovery/restored_test.go
+++ b/pkg/discovery/restored_test.go
@@ -48,7 +48,7 @@
 			f.step(context.Background())
 			f.step(context.Background())
 			require.Equal(t, at(10), f.Position(), "what is known holds")
-			require.True(t, f.Known())
+			require.True(t, f.HasSnapshot())
 			f.step(context.Background())
 			require.Equal(t, in(1, 8), f.Position())
 			require.Equal(t, []string{"listed", "returned", "leaf b", "listed"}, r.told)
@@ -72,7 +72,7 @@
 	f.step(context.Background())
 	f.step(context.Background())
 	require.Equal(t, map[string]bool{"a": true, "b": true}, r.listing.Leafs)
-	require.NoError(t, f.TakeFed(feed.Page{From: in(1, 8), To: in(1, 9), Items: []feed.Item{seen("a", 1, 9).Item}}))
+	require.NoError(t, f.ApplyPage(feed.Page{From: in(1, 8), To: in(1, 9), Items: []feed.Item{seen("a", 1, 9).Item}}))
 	r.told = nil
 	f.Sweep(time.Now())
 	require.Empty(t, r.told)
@@ -80,7 +80,7 @@
 	require.Equal(t, []string{"gone b"}, r.told)
 	f.Sweep(time.Now().Add(time.Minute))
 	require.Equal(t, []string{"gone b"}, r.told)
-	require.Len(t, f.Since(feed.Position{}).Items, 2, "the configuration stays")
+	require.Len(t, f.ChangesSince(feed.Position{}).Items, 2, "the configuration stays")
 }
 
 // Guards against: an instance that starts and is told of a configuration that is older than the one in
@@ -93,7 +93,7 @@
 		}},
 	}
 	f, _ := follower(s)
-	told := func() byte { return f.Since(feed.Position{}).Items[0].Raw[0] }
+	told := func() byte { return f.ChangesSince(feed.Position{}).Items[0].Raw[0] }
 	for range 3 {
 		f.step(context.Background())
 	}
@@ -111,7 +111,7 @@
 	f, _ := follower(s)
 	f.step(context.Background())
 	f.step(context.Background())
-	require.EqualValues(t, 3, f.Since(feed.Position{}).Items[0].Raw[0])
+	require.EqualValues(t, 3, f.ChangesSince(feed.Position{}).Items[0].Raw[0])
 }
 
 // Guards against: a call that waits on in an era that another instance has told to be over.
@@ -123,7 +123,7 @@
 	defer stop()
 	go f.Run(ctx)
 	require.Equal(t, at(10), <-waits.began)
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: in(1, 8)}))
 	require.ErrorIs(t, <-waits.ended, context.Canceled)
 	require.Equal(t, in(1, 8), <-waits.began)
 	stop()
@@ -168,10 +168,10 @@
 // Guards against: pages of other instances that leave a gap, or go back to an era that is over.
 func TestPagesOfOthersThatDoNotFitAreRefused(t *testing.T) {
 	f, r := follower(&script{})
-	require.ErrorIs(t, f.TakeFed(feed.Page{From: at(3), To: at(4)}), feed.ErrGap)
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
-	require.ErrorIs(t, f.TakeFed(feed.Page{From: in(1, 9), To: in(1, 10), Items: []feed.Item{seen("x", 1, 10).Item}}), feed.ErrGap)
-	require.ErrorIs(t, f.TakeFed(feed.Page{Full: true, To: at(90), Items: []feed.Item{entry("x", 90)}}), feed.ErrEra)
+	require.ErrorIs(t, f.ApplyPage(feed.Page{From: at(3), To: at(4)}), feed.ErrGap)
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: in(1, 8)}))
+	require.ErrorIs(t, f.ApplyPage(feed.Page{From: in(1, 9), To: in(1, 10), Items: []feed.Item{seen("x", 1, 10).Item}}), feed.ErrGap)
+	require.ErrorIs(t, f.ApplyPage(feed.Page{Full: true, To: at(90), Items: []feed.Item{entry("x", 90)}}), feed.ErrEra)
 	require.Equal(t, in(1, 8), f.Position())
 	require.Equal(t, []string{"listed"}, r.told)
 }
@@ -180,10 +180,10 @@
 // although the store never had it.
 func TestPositionsOfErasAreContradictedByEra(t *testing.T) {
 	f, _ := follower(&script{})
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: in(1, 8)}))
 	later := time.Now().Add(time.Minute)
-	require.False(t, f.Contradicted(in(2, 3), later))
-	require.True(t, f.Contradicted(in(0, 900), later))
+	require.False(t, f.ResetIfContradicted(in(2, 3), later))
+	require.True(t, f.ResetIfContradicted(in(0, 900), later))
 }
 
 // Guards against: answers that were under way when another instance told of a later era, and are taken
@@ -192,7 +192,7 @@
 	var f *Follower
 	s := &script{lists: []Page{{At: at(10)}}}
 	late := func() (Page, error) {
-		require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
+		require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: in(1, 8)}))
 		return Page{At: at(12), Events: []Event{seen("late", 0, 12)}}, nil
 	}
 	s.watches = []func() (Page, error){late, func() (Page, error) { return Page{At: in(1, 8)}, nil }}
@@ -216,7 +216,7 @@
 	f, r := follower(s)
 	f.opts.AwayAfter = time.Minute
 	require.NotZero(t, f.step(context.Background()))
-	require.False(t, f.Known())
+	require.False(t, f.HasSnapshot())
 	f.step(context.Background())
 	require.Equal(t, []string{"leaf b", "listed"}, r.told)
 }
@@ -229,9 +229,9 @@
 		watches: []func() (Page, error){func() (Page, error) { return Page{At: in(1, 12)}, nil }},
 	}
 	f, r := follower(s)
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(900, 1), Items: []feed.Item{seen("a", 900, 1).Item}}))
+	require.NoError(t, f.ApplyPage(feed.Page{Full: true, To: in(900, 1), Items: []feed.Item{seen("a", 900, 1).Item}}))
 	f.step(context.Background())
-	require.False(t, f.Known())
+	require.False(t, f.HasSnapshot())
 	f.step(context.Background())
 	require.Equal(t, in(1, 12), f.Position())
 	require.Equal(t, map[string]bool{"b": true}, r.listing.Leafs)
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -44,21 +44,21 @@
 	}
 	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Room: room(set)}
 	agent := peers.New(self, seedAddrs(set.Peers.Seeds, addr.Port), udp, codec, n.log)
-	agent.ShareWarming(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmers)
-	server.Heed(n.gateway.Quarantine())
-	agent.ShareQuarantine(n.gateway.Quarantine())
+	agent.EnableWarmup(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmers)
+	server.SetQuarantine(n.gateway.Quarantine())
+	agent.EnableQuarantineSharing(n.gateway.Quarantine())
 	if set.Peers.Batches {
 		n.gateway.UseBatcher(agent, set.Zone)
 	}
 	if set.Peers.Gather {
 		n.gateway.UseGatherers(agent)
-		slack := peers.Slack{Total: set.Bounds.SecondSlack, Zones: set.Bounds.Zones, Window: settings.Duration(set.Bounds.SecondWindowMs)}
-		agent.ShareSlack(slack, n.table.SetBursts)
+		slack := peers.BurstBudget{Total: set.Bounds.SecondSlack, Zones: set.Bounds.Zones, Window: settings.Duration(set.Bounds.SecondWindowMs)}
+		agent.EnableBurstSharing(slack, n.table.SetBursts)
 	}
 	if set.Peers.Feed {
-		n.follower.OnChange(server.Changed)
-		server.Feed(n.follower, func() bool { return n.gateway.Isolated(time.Now()) })
-		agent.Listen(n.follower, feed.Options{Fresh: set.WatchWait() + newsLate, StartWait: set.StartWait()}, set.Peers.FirstStart)
+		n.follower.OnChange(server.NotifySubscribers)
+		server.PublishFeed(n.follower, func() bool { return n.gateway.Isolated(time.Now()) })
+		agent.SubscribeToFeeds(n.follower, feed.Options{Fresh: set.WatchWait() + newsLate, StartWait: set.StartWait()}, set.Peers.FirstStart)
 		n.follower.SetReading(false, longpoll.Group{}) // Until the agent has decided.
 	}
 	return &peering{agent: agent, server: server}, nil
@@ -147,14 +147,14 @@
 }
 
 // isolated reports whether the peers that run this instance's queries are isolated.
-func (p *peering) isolated(now time.Time) bool { return p != nil && p.agent.Isolated(now) }
+func (p *peering) isolated(now time.Time) bool { return p != nil && p.agent.GatherersIsolated(now) }
 
 // Handed is how many queries peers were asked to run.
 func (n *Node) Handed() int64 {
 	if n.peering == nil {
 		return 0
 	}
-	return n.peering.agent.Handed.Load()
+	return n.peering.agent.QueriesHandedOff.Load()
 }
 
 // connected lists the peers that queries may go through.
@@ -180,14 +180,14 @@
 		}
 		return float64(count)
 	})
-	gauge("node_batches_sent", func() float64 { return float64(n.peering.agent.Sent.Load()) })
-	gauge("node_batches_direct", func() float64 { return float64(n.peering.agent.Fallbacks.Load()) })
+	gauge("node_batches_sent", func() float64 { return float64(n.peering.agent.BatchesSent.Load()) })
+	gauge("node_batches_direct", func() float64 { return float64(n.peering.agent.BatchFallbacks.Load()) })
 	gauge("node_queries_handed", func() float64 { return float64(n.Handed()) })
-	gauge("node_queries_declined", func() float64 { return float64(n.peering.agent.Declined.Load()) })
-	gauge("node_queries_taken_late", func() float64 { return float64(n.peering.agent.TakenLate.Load()) })
-	gauge("node_queries_gathered", func() float64 { return float64(n.peering.server.Gathered.Load()) })
-	gauge("node_peers_silent", func() float64 { return float64(n.peering.agent.Silent.Load()) })
-	gauge("node_batches_served", func() float64 { return float64(n.peering.server.Batches.Load()) })
-	gauge("node_batch_calls_served", func() float64 { return float64(n.peering.server.Calls.Load()) })
+	gauge("node_queries_declined", func() float64 { return float64(n.peering.agent.QueriesDeclined.Load()) })
+	gauge("node_queries_taken_late", func() float64 { return float64(n.peering.agent.QueriesTakenLate.Load()) })
+	gauge("node_queries_gathered", func() float64 { return float64(n.peering.server.QueriesServed.Load()) })
+	gauge("node_peers_silent", func() float64 { return float64(n.peering.agent.PeerTimeouts.Load()) })
+	gauge("node_batches_served", func() float64 { return float64(n.peering.server.BatchesServed.Load()) })
+	gauge("node_batch_calls_served", func() float64 { return float64(n.peering.server.LeafCallsServed.Load()) })
 	n.log.State("peering", oplog.Fields{"listen": n.peering.agent.Self().Addr})
 }
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -546,8 +546,8 @@
 
 // tell lets a listener hear once of another instance, and returns up to where that has told it.
 func (f *simFleet) tell(from *discovery.Follower, listener *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
-	confirmed, answered, page := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.Since(sent)
-	known := from.Known()
+	confirmed, answered, page := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.ChangesSince(sent)
+	known := from.HasSnapshot()
 	tells := known && page.To.After(sent)
 	if tells {
 		sent = page.To
@@ -556,16 +556,16 @@
 	listener.awake()
 	to := listener.follower
 	if tells {
-		_ = to.TakeFed(page) // What is refused is lost, as on a connection.
+		_ = to.ApplyPage(page) // What is refused is lost, as on a connection.
 	}
-	contradicted := known && to.Contradicted(page.To, time.Now().Add(-confirmed))
+	contradicted := known && to.ResetIfContradicted(page.To, time.Now().Add(-confirmed))
 	switch {
 	case contradicted, subscription.Missed(page.To, to.Position(), time.Now()):
 		subscription.Renewed(time.Now())
 		return to.Position()
 	case known && page.To.Era == to.Position().Era && !page.To.After(to.Position()):
-		to.Proven(time.Now().Add(-confirmed))
-		to.Confirmed(time.Now().Add(-answered))
+		to.MarkCurrent(time.Now().Add(-confirmed))
+		to.MarkConfirmed(time.Now().Add(-answered))
 	}
 	return sent
 }
--- a/pkg/peers/ask.go
+++ b/pkg/peers/ask.go
@@ -153,7 +153,7 @@
 
 // takenLate records that a peer took a query that had been taken back.
 func (p *Peers) takenLate(c *clientConn, request string) {
-	p.TakenLate.Add(1)
+	p.QueriesTakenLate.Add(1)
 	p.log.Decision("query_taken_late", oplog.Fields{"request": request, "peer": c.peer.Name})
 }
 
@@ -167,7 +167,7 @@
 	if !ok {
 		return gateway.Answer{}, false
 	}
-	p.Handed.Add(1)
+	p.QueriesHandedOff.Add(1)
 	wait := &queryWait{p: p, c: c, number: number, asked: a, query: q}
 	return wait.run(ctx)
 }
@@ -234,7 +234,7 @@
 	if !w.offer.refused() {
 		return w.lost(), true, true
 	}
-	w.p.Declined.Add(1)
+	w.p.QueriesDeclined.Add(1)
 	return a, false, true
 }
 
@@ -307,7 +307,7 @@
 		if len(proofs) == 0 {
 			return a, errPeerMalformed
 		}
-		a.Shards[i].Reply = &gateway.LeafReply{Content: w.c.codec.Reply(proofs[0], body)}
+		a.Shards[i].Reply = &gateway.LeafReply{Content: w.c.codec.JoinReply(proofs[0], body)}
 		proofs, body = proofs[1:], nil
 	}
 	if len(proofs) > 0 {
--- a/pkg/peers/batches.go
+++ b/pkg/peers/batches.go
@@ -56,7 +56,7 @@
 // caller knows this instance to be well.
 func (w *work) run() {
 	defer w.finish()
-	w.c.s.Batches.Add(1)
+	w.c.s.BatchesServed.Add(1)
 	w.c.s.active.Add(1)
 	defer w.c.s.active.Add(-1)
 	for i := range w.leafs {
@@ -95,7 +95,7 @@
 
 // start sends the request to one leaf, unless something that this instance knows forbids it.
 func (w *work) start(i int) {
-	w.c.s.Calls.Add(1)
+	w.c.s.LeafCallsServed.Add(1)
 	leaf, began := w.leaf(i), time.Now()
 	err := w.refusal(leaf, began)
 	if err == nil {
@@ -161,7 +161,7 @@
 			TookUs: uint32(d.took.Microseconds()), Load: loadFrame(d.reply.Load),
 		}
 		if d.reply.Outcome == replica.Answered {
-			proof, body := w.c.s.codec.Part(d.reply)
+			proof, body := w.c.s.codec.SplitReply(d.reply)
 			p.Proof = proof
 			bodies = append(bodies, body)
 		}
--- a/pkg/peers/conn.go
+++ b/pkg/peers/conn.go
@@ -273,7 +273,7 @@
 		}
 		r.Reply.Load, r.Reply.LoadErr = loadOf(part.Load)
 		if r.Reply.Outcome == replica.Answered {
-			r.Reply.Content = codec.Reply(part.Proof, body)
+			r.Reply.Content = codec.JoinReply(part.Proof, body)
 			body = nil
 		}
 		out = append(out, r)
--- a/pkg/peers/feeder.go
+++ b/pkg/peers/feeder.go
@@ -16,23 +16,23 @@
 
 // Store is what an instance knows of the platform's store.
 type Store interface {
-	// Since is what has changed after a position, and Known whether there is anything.
-	Since(after feed.Position) feed.Page
-	Known() bool
+	// ChangesSince is what has changed after a position, and Known whether there is anything.
+	ChangesSince(after feed.Position) feed.Page
+	HasSnapshot() bool
 	Position() feed.Position
 	// ProvenAt is when the store last answered, this instance or one that feeds it.
 	ConfirmedAt() time.Time
-	// Proven notes that all is known which the store had published by a time, as a peer was told,
+	// MarkCurrent notes that all is known which the store had published by a time, as a peer was told,
 	// and Confirmed the same as the store has told the peer itself.
-	Proven(at time.Time)
-	Confirmed(at time.Time)
+	MarkCurrent(at time.Time)
+	MarkConfirmed(at time.Time)
 	// AnsweredAt is when it last answered this instance itself.
 	AnsweredAt() time.Time
-	// TakeFed takes over what another instance has sent.
-	TakeFed(p feed.Page) error
-	// Contradicted takes over where the store was when it answered another
+	// ApplyPage takes over what another instance has sent.
+	ApplyPage(p feed.Page) error
+	// ResetIfContradicted takes over where the store was when it answered another
 	// instance at a time, and reports whether what was known has been dropped for it.
-	Contradicted(store feed.Position, at time.Time) bool
+	ResetIfContradicted(store feed.Position, at time.Time) bool
 	// SetReading says whether this instance is to read the store itself, and what it knows of the
 	// others that do.
 	SetReading(reading bool, group longpoll.Group)
@@ -101,14 +101,14 @@
 	packedFull           bool
 }
 
-// Feed lets the server feed its peers, and tell them whether this instance is isolated. It is
+// PublishFeed lets the server feed its peers, and tell them whether this instance is isolated. It is
 // called before Run.
-func (s *Server) Feed(store Store, isolated func() bool) {
+func (s *Server) PublishFeed(store Store, isolated func() bool) {
 	s.feeder = &feeder{store: store, isolated: isolated, wakes: make(map[*serverConn]chan struct{})}
 }
 
-// Changed tells those that are fed that there is something new.
-func (s *Server) Changed() {
+// NotifySubscribers tells those that are fed that there is something new.
+func (s *Server) NotifySubscribers() {
 	if s.feeder == nil {
 		return
 	}
@@ -171,8 +171,8 @@
 // send sends what has changed after a position and how far this instance is. It returns the
 // position up to which the peer has been told.
 func (f *feeder) send(c *serverConn, sent feed.Position) (feed.Position, error) {
-	if f.store.Known() && f.store.Position().After(sent) {
-		page := f.store.Since(sent)
+	if f.store.HasSnapshot() && f.store.Position().After(sent) {
+		page := f.store.ChangesSince(sent)
 		raw, err := f.pack(page)
 		if err != nil {
 			return sent, err
@@ -184,7 +184,7 @@
 	}
 	// The times first: the position is then at least that of the answers.
 	n := news{AgeMs: age(f.store.ConfirmedAt()), OwnAgeMs: age(f.store.AnsweredAt())}
-	if !f.store.Known() {
+	if !f.store.HasSnapshot() {
 		n.AgeMs = unproven
 	}
 	n.At = f.store.Position()
--- a/pkg/peers/feeds.go
+++ b/pkg/peers/feeds.go
@@ -30,9 +30,9 @@
 	isolated       bool
 }
 
-// Listen lets the agent be fed by its peers; firstStart: all instances start for the first
+// SubscribeToFeeds lets the agent be fed by its peers; firstStart: all instances start for the first
 // time. It is called before Run.
-func (p *Peers) Listen(store Store, opts feed.Options, firstStart bool) {
+func (p *Peers) SubscribeToFeeds(store Store, opts feed.Options, firstStart bool) {
 	p.feeds = &feeds{store: store, firstStart: firstStart, fresh: opts.Fresh, plan: feed.NewPlan(opts, time.Now()), heard: make(map[string]heard), subscriptions: make(map[string]*feed.Subscription)}
 }
 
@@ -43,7 +43,7 @@
 		return nil
 	}
 	store := p.feeds.store
-	if p.roles.near+1 < feed.LeastMembers && (store.Known() || !p.feeds.firstStart && p.roles.others > 0) {
+	if p.roles.near+1 < feed.LeastMembers && (store.HasSnapshot() || !p.feeds.firstStart && p.roles.others > 0) {
 		next := append(p.names(p.roles.behind, now), p.names(p.roles.ahead, now)...)
 		listen := append(next[:min(len(next), feed.Readers)], p.farReaders(now)...)
 		store.SetReading(true, p.group(listen, now))
@@ -52,7 +52,7 @@
 	listen, read := p.feeds.plan.Step(feed.View{
 		Ahead: p.names(p.roles.ahead, now), Behind: p.names(p.roles.behind, now),
 		Answered: func(name string) time.Time { return p.feeds.answered(name, now) },
-		Own:      store.AnsweredAt(), Knows: store.Known(),
+		Own:      store.AnsweredAt(), Knows: store.HasSnapshot(),
 	}, now)
 	if read {
 		listen = append(listen, p.farReaders(now)...)
@@ -65,7 +65,7 @@
 // a zone that the store does not answer hears of it through them. An instance that knows nothing
 // yet is fed by its own zone, if it can be; mu is held.
 func (p *Peers) farReaders(now time.Time) []string {
-	if !p.feeds.store.Known() && p.roles.near > 0 {
+	if !p.feeds.store.HasSnapshot() && p.roles.near > 0 {
 		return nil
 	}
 	return p.names(p.roles.far, now)
@@ -83,12 +83,12 @@
 	return g
 }
 
-// Isolated reports whether those that run this instance's queries are isolated.
+// GatherersIsolated reports whether those that run this instance's queries are isolated.
 //
 // An instance that hands its queries on asks no leafs, and does not notice that its zone is
 // cut off from them. If it goes on to say that it is ready the balancer sends it callers that
 // its zone can only refuse, while other zones could serve them.
-func (p *Peers) Isolated(now time.Time) bool {
+func (p *Peers) GatherersIsolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.feeds == nil || len(p.roles.gatherers) == 0 {
@@ -185,15 +185,15 @@
 	now := time.Now()
 	proven, answered := ago(n.AgeMs, now), ago(n.OwnAgeMs, now)
 	store := p.feeds.store
-	contradicted := !proven.IsZero() && store.Contradicted(n.At, proven)
+	contradicted := !proven.IsZero() && store.ResetIfContradicted(n.At, proven)
 	known := store.Position()
 	p.heardFrom(c, n, known, contradicted)
 	if contradicted || proven.IsZero() || n.At.Era != known.Era || n.At.After(known) {
 		return
 	}
-	store.Proven(proven)
+	store.MarkCurrent(proven)
 	if !answered.IsZero() {
-		store.Confirmed(answered)
+		store.MarkConfirmed(answered)
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	page, err := unpack(packed)
 	if err == nil {
-		err = p.feeds.store.TakeFed(page)
+		err = p.feeds.store.ApplyPage(page)
 	}
 	if err != nil {
 		p.log.Decision("feed_page_refused", oplog.Fields{
--- a/pkg/peers/feeds_test.go
+++ b/pkg/peers/feeds_test.go
@@ -43,25 +43,25 @@
 	return f()
 }
 
-func (m *memory) Since(after feed.Position) feed.Page {
+func (m *memory) ChangesSince(after feed.Position) feed.Page {
 	return locked(m, func() feed.Page { return m.book.Since(after, time.Now()) })
 }
-func (m *memory) Known() bool             { return locked(m, m.book.Known) }
-func (m *memory) Position() feed.Position { return locked(m, m.book.Position) }
-func (m *memory) ConfirmedAt() time.Time  { return locked(m, func() time.Time { return m.proven }) }
-func (m *memory) AnsweredAt() time.Time   { return locked(m, func() time.Time { return m.answered }) }
-func (m *memory) Proven(at time.Time)     { locked(m, func() bool { m.proven = at; return true }) }
-func (m *memory) Confirmed(at time.Time) {
+func (m *memory) HasSnapshot() bool        { return locked(m, m.book.Known) }
+func (m *memory) Position() feed.Position  { return locked(m, m.book.Position) }
+func (m *memory) ConfirmedAt() time.Time   { return locked(m, func() time.Time { return m.proven }) }
+func (m *memory) AnsweredAt() time.Time    { return locked(m, func() time.Time { return m.answered }) }
+func (m *memory) MarkCurrent(at time.Time) { locked(m, func() bool { m.proven = at; return true }) }
+func (m *memory) MarkConfirmed(at time.Time) {
 	locked(m, func() bool { m.confirmed = at; return true })
 }
 func (m *memory) SetReading(r bool, group longpoll.Group) {
 	locked(m, func() bool { m.reading, m.group = r, group; return true })
 }
-func (m *memory) Contradicted(feed.Position, time.Time) bool {
+func (m *memory) ResetIfContradicted(feed.Position, time.Time) bool {
 	return locked(m, func() bool { m.contradicted++; return false })
 }
 
-func (m *memory) TakeFed(p feed.Page) error {
+func (m *memory) ApplyPage(p feed.Page) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := errors.Join(p.Check(), m.book.Fits(p)); err != nil {
@@ -85,9 +85,9 @@
 
 func newFeedBench(t *testing.T) *feedBench {
 	b := &feedBench{bench: newBench(t, nil), here: newMemory(), peer: newMemory()}
-	b.server.Feed(b.peer, b.isolated.Load)
+	b.server.PublishFeed(b.peer, b.isolated.Load)
 	b.agent = &Peers{log: quietLog(), conns: map[string]*clientConn{}, avoid: map[string]time.Time{}}
-	b.agent.Listen(b.here, feed.Options{Fresh: 2 * time.Second}, false)
+	b.agent.SubscribeToFeeds(b.here, feed.Options{Fresh: 2 * time.Second}, false)
 	b.attach(b.conn)
 	return b
 }
@@ -114,7 +114,7 @@
 		b.peer.proven, b.peer.answered = time.Now(), time.Now()
 		return true
 	})
-	b.server.Changed()
+	b.server.NotifySubscribers()
 }
 
 func (b *feedBench) eventually(cond func() bool) {
@@ -127,7 +127,7 @@
 	b := newFeedBench(t)
 	b.tell("a", 4)
 	b.listenTo()
-	b.eventually(func() bool { return b.here.Known() && b.here.Position() == at(4) })
+	b.eventually(func() bool { return b.here.HasSnapshot() && b.here.Position() == at(4) })
 	for revision := int64(5); revision < 20; revision++ {
 		b.tell("b", revision)
 		b.eventually(func() bool { return b.here.Position() == at(revision) })
@@ -161,7 +161,7 @@
 	b.tell("b", 6)
 	b.tell("c", 7)
 	b.eventually(func() bool { return b.here.Position() == at(7) })
-	require.Len(t, b.here.Since(at(0)).Items, 2)
+	require.Len(t, b.here.ChangesSince(at(0)).Items, 2)
 }
 
 // A peer that knows nothing itself says so, and is no source.
@@ -173,7 +173,7 @@
 		defer b.agent.mu.Unlock()
 		return !b.agent.feeds.heard["peer"].at.IsZero()
 	})
-	require.False(t, b.here.Known())
+	require.False(t, b.here.HasSnapshot())
 	require.Zero(t, b.here.ConfirmedAt())
 	require.True(t, b.agent.feeds.answered("peer", time.Now()).IsZero())
 }
@@ -227,19 +227,19 @@
 	b.agent.roles.gatherers = []membership.Member{{Name: "peer"}}
 	b.agent.mu.Unlock()
 	b.isolated.Store(true)
-	require.Never(t, func() bool { return b.agent.Isolated(time.Now()) }, 2*newsEvery, newsEvery/4, "another zone's isolation is no sign of this one's")
+	require.Never(t, func() bool { return b.agent.GatherersIsolated(time.Now()) }, 2*newsEvery, newsEvery/4, "another zone's isolation is no sign of this one's")
 	b.agent.mu.Lock()
 	b.agent.self.Zone = b.conn.peer.Zone
 	b.agent.mu.Unlock()
-	b.eventually(func() bool { return b.agent.Isolated(time.Now()) })
-	require.False(t, b.agent.Isolated(time.Now().Add(2*newsMissed)), "what is not said again does not hold")
+	b.eventually(func() bool { return b.agent.GatherersIsolated(time.Now()) })
+	require.False(t, b.agent.GatherersIsolated(time.Now().Add(2*newsMissed)), "what is not said again does not hold")
 	b.isolated.Store(false)
-	b.eventually(func() bool { return !b.agent.Isolated(time.Now()) })
+	b.eventually(func() bool { return !b.agent.GatherersIsolated(time.Now()) })
 	b.agent.mu.Lock()
 	b.agent.roles.gatherers = nil
 	b.agent.mu.Unlock()
 	b.isolated.Store(true)
-	require.Never(t, func() bool { return b.agent.Isolated(time.Now()) }, 2*newsEvery, newsEvery/4, "one that runs queries looks for itself")
+	require.Never(t, func() bool { return b.agent.GatherersIsolated(time.Now()) }, 2*newsEvery, newsEvery/4, "one that runs queries looks for itself")
 }
 
 // In a zone of few each reads the store for itself; in one of many those after the first two
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -76,16 +76,16 @@
 	warmers func(replica.Warmers)
 	warming warming
 
-	// Sent and Fallbacks count batches that went through a peer, and those that
+	// BatchesSent and Fallbacks count batches that went through a peer, and those that
 	// found none.
-	Sent, Fallbacks, Silent atomic.Int64
-	// Handed counts queries that a gatherer was asked to run, Declined those that it
+	BatchesSent, BatchFallbacks, PeerTimeouts atomic.Int64
+	// QueriesHandedOff counts queries that a gatherer was asked to run, Declined those that it
 	// did not run.
-	Handed, Declined atomic.Int64
-	// TakenLate counts queries that a peer took after this instance had taken them back.
-	TakenLate atomic.Int64
-	done      chan struct{}
-	close     sync.Once
+	QueriesHandedOff, QueriesDeclined atomic.Int64
+	// QueriesTakenLate counts queries that a peer took after this instance had taken them back.
+	QueriesTakenLate atomic.Int64
+	done             chan struct{}
+	close            sync.Once
 }
 
 // New returns the agent of an instance that listens for datagrams on udp.
@@ -99,24 +99,24 @@
 	}
 }
 
-// ShareSlack lets told know this instance's part of the slack, each tick. It is called
+// EnableBurstSharing lets told know this instance's part of the slack, each tick. It is called
 // before Run.
-func (p *Peers) ShareSlack(slack Slack, told func(replica.Bursts)) {
+func (p *Peers) EnableBurstSharing(slack BurstBudget, told func(replica.Bursts)) {
 	p.slack = slackShare{slack: slack, started: time.Now()}
 	p.shared = told
 }
 
-// ShareWarming lets told know who may send requests to cold leafs, each tick. zones are those that
+// EnableWarmup lets told know who may send requests to cold leafs, each tick. zones are those that
 // have instances, and expectsPeers says that this instance is not the only one. It is called before
 // Run.
-func (p *Peers) ShareWarming(zones []string, expectsPeers bool, told func(replica.Warmers)) {
+func (p *Peers) EnableWarmup(zones []string, expectsPeers bool, told func(replica.Warmers)) {
 	p.warming = warming{zones: zones, expectsPeers: expectsPeers}
 	p.warmers = told
 }
 
-// ShareQuarantine lets the instances tell each other of requests that end leafs. It is called
+// EnableQuarantineSharing lets the instances tell each other of requests that end leafs. It is called
 // before Run.
-func (p *Peers) ShareQuarantine(table *quarantine.Table) { p.quarantine = table }
+func (p *Peers) EnableQuarantineSharing(table *quarantine.Table) { p.quarantine = table }
 
 // Run keeps the membership and the connections until Close.
 func (p *Peers) Run() {
@@ -181,10 +181,10 @@
 		cancel, ok = c.send(b, take)
 	}
 	if !ok {
-		p.Fallbacks.Add(1)
+		p.BatchFallbacks.Add(1)
 		return nil, false
 	}
-	p.Sent.Add(1)
+	p.BatchesSent.Add(1)
 	return cancel, true
 }
 
@@ -278,7 +278,7 @@
 
 // silent avoids a peer that does not answer in time.
 func (p *Peers) silent(c *clientConn) {
-	p.Silent.Add(1)
+	p.PeerTimeouts.Add(1)
 	p.mu.Lock()
 	p.avoid[c.peer.Name] = time.Now().Add(avoidFor)
 	p.mu.Unlock()
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -40,12 +40,12 @@
 	r := c.(Request)
 	return quarantine.KeyOf(r.Method, r.Host, r.Target, string(r.Body))
 }
-func (textCodec) Part(r gateway.LeafReply) (string, []byte) {
+func (textCodec) SplitReply(r gateway.LeafReply) (string, []byte) {
 	t := r.Content.(textReply)
 	return t.proof, t.body
 }
-func (textCodec) Reply(proof string, body []byte) gateway.Content { return textReply{proof, body} }
-func (textCodec) Merge(bodies [][]byte, _ int) []byte             { return bytes.Join(bodies, []byte("+")) }
+func (textCodec) JoinReply(proof string, body []byte) gateway.Content { return textReply{proof, body} }
+func (textCodec) Merge(bodies [][]byte, _ int) []byte                 { return bytes.Join(bodies, []byte("+")) }
 
 // fakeLeafs answers as a test says.
 type fakeLeafs struct {
@@ -81,7 +81,7 @@
 	t       *testing.T
 	table   *replica.Table
 	leafs   *fakeLeafs
-	queries Queries
+	queries QueryRunner
 	server  *Server
 	conn    *clientConn
 	silent  chan struct{}
--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -17,7 +17,7 @@
 func TestPeerKeepsQuarantinedRequestsFromLeafs(t *testing.T) {
 	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return answered(call) })
 	table := quarantine.NewTable()
-	b.server.Heed(table)
+	b.server.SetQuarantine(table)
 	m := message(time.Second, leafs("a", "b"))
 	table.Learn(quarantine.Note{Key: textCodec{}.Key(m.Request.Content), Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
 	got := make(sink, 4)
--- a/pkg/peers/queries.go
+++ b/pkg/peers/queries.go
@@ -11,8 +11,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// Queries runs whole queries for peers of this instance's zone.
-type Queries interface {
+// QueryRunner runs whole queries for peers of this instance's zone.
+type QueryRunner interface {
 	// Gather runs a query under a version of the configuration, once granted, which is called
 	// before anything is sent, says that it is this instance that runs it. ok is false if it
 	// did not run and will not.
@@ -106,7 +106,7 @@
 			})
 			return false
 		}
-		c.s.Gathered.Add(1)
+		c.s.QueriesServed.Add(1)
 		return true
 	})
 	switch {
@@ -159,7 +159,7 @@
 		if shard.Reply == nil || a.Code != errcode.OK {
 			continue
 		}
-		proof, body := c.s.codec.Part(*shard.Reply)
+		proof, body := c.s.codec.SplitReply(*shard.Reply)
 		f.Lacks[i] = byte(fanout.Covered)
 		f.Proofs = append(f.Proofs, proof)
 		bodies = append(bodies, body)
--- a/pkg/peers/server.go
+++ b/pkg/peers/server.go
@@ -23,9 +23,9 @@
 	Content(r Request) gateway.Content
 	// Key names what a caller's message asks.
 	Key(content gateway.Content) quarantine.Key
-	// Part takes a leaf's success apart, and Reply puts one together.
-	Part(reply gateway.LeafReply) (proof string, body []byte)
-	Reply(proof string, body []byte) gateway.Content
+	// SplitReply takes a leaf's success apart, and Reply puts one together.
+	SplitReply(reply gateway.LeafReply) (proof string, body []byte)
+	JoinReply(proof string, body []byte) gateway.Content
 	// Merge joins the bodies of several parts into one that gives the same answer.
 	Merge(bodies [][]byte, topK int) []byte
 }
@@ -34,7 +34,7 @@
 // queries for those of its own.
 type Server struct {
 	listener net.Listener
-	queries  Queries
+	queries  QueryRunner
 	// quarantine knows the requests that end leafs; nil: all are sent.
 	quarantine *quarantine.Table
 	// feeder is nil where peers are not fed.
@@ -44,9 +44,9 @@
 	codec  Codec
 	pool   *ants.Pool
 	log    *oplog.Log
-	// Batches, Calls and Gathered count what was served; active is the work under way.
-	Batches, Calls, Gathered atomic.Int64
-	active                   atomic.Int64
+	// BatchesServed, Calls and Gathered count what was served; active is the work under way.
+	BatchesServed, LeafCallsServed, QueriesServed atomic.Int64
+	active                                        atomic.Int64
 
 	// connsMost bounds the connections; turned counts those that were closed for it.
 	connsMost int
@@ -63,7 +63,7 @@
 
 // NewServer serves on a listener; workers bounds the leaf calls in flight, connsMost the
 // connections. queries may be nil where none are run for peers.
-func NewServer(ln net.Listener, table *replica.Table, leafs gateway.Leafs, queries Queries, codec Codec, workers, connsMost int, log *oplog.Log) (*Server, error) {
+func NewServer(ln net.Listener, table *replica.Table, leafs gateway.Leafs, queries QueryRunner, codec Codec, workers, connsMost int, log *oplog.Log) (*Server, error) {
 	pool, err := ants.NewPool(workers, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, err
@@ -71,9 +71,9 @@
 	return &Server{listener: ln, queries: queries, table: table, leafs: leafs, codec: codec, pool: pool, log: log, connsMost: connsMost, conns: make(map[net.Conn]struct{})}, nil
 }
 
-// Heed keeps requests that end leafs from them, also where the caller has not heard of that
+// SetQuarantine keeps requests that end leafs from them, also where the caller has not heard of that
 // yet. It is called before Run.
-func (s *Server) Heed(table *quarantine.Table) { s.quarantine = table }
+func (s *Server) SetQuarantine(table *quarantine.Table) { s.quarantine = table }
 
 // Run accepts peers until Close.
 func (s *Server) Run() {
--- a/pkg/peers/slack.go
+++ b/pkg/peers/slack.go
@@ -7,9 +7,9 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// Slack is what all instances together may send in second requests to a service, beyond
+// BurstBudget is what all instances together may send in second requests to a service, beyond
 // the ratio to its requests, in any window.
-type Slack struct {
+type BurstBudget struct {
 	// Total is as published; zero: not known.
 	Total float64
 	// Zones are the deployment's availability zones.
@@ -36,7 +36,7 @@
 
 // slackShare keeps this instance's share of the slack.
 type slackShare struct {
-	slack   Slack
+	slack   BurstBudget
 	started time.Time
 	// drawn and members are the largest numbers of gatherers and members of the zone
 	// that were seen of late, and seenAt when.
--- a/pkg/peers/slack_test.go
+++ b/pkg/peers/slack_test.go
@@ -16,8 +16,8 @@
 var settled = slackStart.Add(time.Hour)
 
 // slackOf is a deployment's slack of 430 over some zones.
-func slackOf(zones ...string) Slack {
-	return Slack{Total: 430, Zones: zones, Window: 10 * time.Second}
+func slackOf(zones ...string) BurstBudget {
+	return BurstBudget{Total: 430, Zones: zones, Window: 10 * time.Second}
 }
 
 // without is a list of members without one.
@@ -26,7 +26,7 @@
 }
 
 // sum adds up the shares of members that all know each other.
-func sum(all []membership.Member, slack Slack) (total, greatest replica.Bursts) {
+func sum(all []membership.Member, slack BurstBudget) (total, greatest replica.Bursts) {
 	for i, self := range all {
 		others := without(all, i)
 		s := &slackShare{slack: slack, started: slackStart}
