--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -17,7 +17,7 @@
 func TestPeerKeepsQuarantinedRequestsFromLeafs(t *testing.T) {
 	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return answered(call) })
 	table := quarantine.NewTable()
-	b.server.Heed(table)
+	b.server.SetQuarantine(table)
 	m := message(time.Second, leafs("a", "b"))
 	table.Merge(quarantine.Report{Key: textCodec{}.Key(m.Request.Content), EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 	got := make(sink, 4)
