--- a/pkg/cli/node.go
+++ b/pkg/cli/node.go
@@ -23,11 +23,11 @@
 // platformAdapter connects the node to the users' platform.
 func platformAdapter() node.Adapter {
 	return node.Adapter{
-		ReadyPath: platform.PathReady,
-		Source:    func(address string, log *oplog.Log) discovery.Source { return platform.NewStore(address, log) },
-		Leafs:     func(pool *leafconn.Pool) gateway.Leafs { return platform.NewLeafs(pool) },
-		Door:      func(g *gateway.Gateway, log *oplog.Log) http.Handler { return platform.NewDoor(g, log) },
-		Peers:     platform.PeerCodec{},
+		ReadyPath:     platform.PathReady,
+		Source:        func(address string, log *oplog.Log) discovery.Source { return platform.NewStore(address, log) },
+		Leafs:         func(pool *leafconn.Pool) gateway.Leafs { return platform.NewLeafs(pool) },
+		CallerHandler: func(g *gateway.Gateway, log *oplog.Log) http.Handler { return platform.NewDoor(g, log) },
+		PeerCodec:     platform.PeerCodec{},
 	}
 }
 
--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -23,11 +23,11 @@
 // Options pace the calls, each of which is billed.
 type Options struct {
 	Pace longpoll.Options
-	// AwayAfter is how long calls must fail before leafs that vanish count
+	// OutageThreshold is how long calls must fail before leafs that vanish count
 	// as lapsed with the outage.
-	AwayAfter time.Duration
-	// Hold is how long entries hold that the store has lost, for their writers to write them again.
-	Hold time.Duration
+	OutageThreshold time.Duration
+	// LostEntryGrace is how long entries hold that the store has lost, for their writers to write them again.
+	LostEntryGrace time.Duration
 }
 
 // Follower keeps a Sink up to date.
@@ -47,7 +47,7 @@
 
 	// mu guards the book, and the order of what the sink is told.
 	mu   sync.Mutex
-	book *feed.Book
+	book *feed.Cache
 	// position is that of the book; risenAt is when it last rose.
 	position atomic.Pointer[feed.Position]
 	risenAt  time.Time
@@ -105,7 +105,7 @@
 	f := &Follower{
 		pacer:  longpoll.New(opts.Pace, rand.Float64),
 		source: source, sink: sink, opts: opts, log: log,
-		book: feed.NewBook(), woken: make(chan struct{}, 1), changed: func() {}, proofGap: func(time.Duration) {},
+		book: feed.NewCache(), woken: make(chan struct{}, 1), changed: func() {}, proofGap: func(time.Duration) {},
 	}
 	f.reading.Store(true)
 	f.position.Store(&feed.Position{})
@@ -173,7 +173,7 @@
 	case page.At.Before(asked):
 		f.storeBehind(asked, page.At)
 		return 0
-	case page.At.Era != asked.Era || !f.take(feed.Page{From: asked, To: page.At}, page.Events):
+	case page.At.Era != asked.Era || !f.take(feed.Update{From: asked, To: page.At}, page.Events):
 		return 0
 	}
 	f.answered()
@@ -259,22 +259,22 @@
 	for _, e := range events {
 		switch {
 		case e.Leaf != nil:
-			f.sink.LeafSeen(*e.Leaf)
-		case e.GoneLeaf != "":
-			f.sink.LeafGone(e.GoneLeaf)
+			f.sink.LeafUpdated(*e.Leaf)
+		case e.RemovedLeaf != "":
+			f.sink.LeafRemoved(e.RemovedLeaf)
 		case e.UnreadableLeaf != "":
 			f.sink.LeafUnreadable(e.UnreadableLeaf)
 		case e.Evacuated != "":
-			f.sink.ZoneEvacuated(e.Evacuated, true)
+			f.sink.ZoneEvacuationChanged(e.Evacuated, true)
 		case e.Readmitted != "":
-			f.sink.ZoneEvacuated(e.Readmitted, false)
+			f.sink.ZoneEvacuationChanged(e.Readmitted, false)
 		case e.Config != nil:
 			config = e
 		}
 	}
 	if config.Config != nil {
 		f.keepNewest(config)
-		f.sink.ConfigSeen(config.Config, origin)
+		f.sink.ConfigUpdated(config.Config, origin)
 	}
 }
 
@@ -285,7 +285,7 @@
 		f.config = e
 		return
 	}
-	f.book.Keep(e.Item.Key, f.config.Item.Raw)
+	f.book.ReplaceContent(e.Item.Key, f.config.Item.Raw)
 }
 
 // succeeded notes a call that was answered.
@@ -296,7 +296,7 @@
 		away := now.Sub(f.failingSince)
 		f.failingSince = time.Time{}
 		f.log.State("store_regained", oplog.Fields{"away_ms": away.Milliseconds(), "attempts": f.pacer.Attempts(), "revision": f.Position().Revision})
-		if now.Sub(f.lastGood) >= f.opts.AwayAfter {
+		if now.Sub(f.lastGood) >= f.opts.OutageThreshold {
 			f.returned(now)
 		}
 	}
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -54,13 +54,13 @@
 	listing Listing
 }
 
-func (r *record) LeafSeen(l replica.Leaf)            { r.told = append(r.told, "leaf "+l.ID) }
-func (r *record) LeafGone(id string)                 { r.told = append(r.told, "gone "+id) }
-func (r *record) LeafUnreadable(id string)           { r.told = append(r.told, "unreadable "+id) }
-func (r *record) ConfigSeen(*routing.Config, Origin) { r.told = append(r.told, "config") }
-func (r *record) StoreReturned()                     { r.told = append(r.told, "returned") }
+func (r *record) LeafUpdated(l replica.Leaf)            { r.told = append(r.told, "leaf "+l.ID) }
+func (r *record) LeafRemoved(id string)                 { r.told = append(r.told, "gone "+id) }
+func (r *record) LeafUnreadable(id string)              { r.told = append(r.told, "unreadable "+id) }
+func (r *record) ConfigUpdated(*routing.Config, Origin) { r.told = append(r.told, "config") }
+func (r *record) StoreRecovered()                       { r.told = append(r.told, "returned") }
 
-func (r *record) ZoneEvacuated(zone string, evacuated bool) {
+func (r *record) ZoneEvacuationChanged(zone string, evacuated bool) {
 	r.told = append(r.told, fmt.Sprint("evacuated ", zone, " ", evacuated))
 }
 
@@ -94,7 +94,7 @@
 	case it.Key == "config":
 		e.Config = configEvent().Config
 	case it.Deleted:
-		e.GoneLeaf = it.Key
+		e.RemovedLeaf = it.Key
 	default:
 		e.Leaf = &replica.Leaf{ID: it.Key}
 	}
@@ -160,7 +160,7 @@
 
 func TestOnlyTheLastConfigurationCounts(t *testing.T) {
 	s := &script{lists: []Page{{}}, watches: []func() (Page, error){func() (Page, error) {
-		return Page{Events: []Event{configEvent(), configEvent(), {GoneLeaf: "x"}, configEvent()}}, nil
+		return Page{Events: []Event{configEvent(), configEvent(), {RemovedLeaf: "x"}, configEvent()}}, nil
 	}}}
 	f, r := follower(s)
 	f.step(context.Background())
--- a/pkg/discovery/events.go
+++ b/pkg/discovery/events.go
@@ -14,10 +14,10 @@
 type Event struct {
 	// Item is the entry as it was published, for other instances; without a key for one
 	// that has none that can be read.
-	Item     feed.Item
-	Leaf     *replica.Leaf
-	Config   *routing.Config
-	GoneLeaf string
+	Item        feed.Item
+	Leaf        *replica.Leaf
+	Config      *routing.Config
+	RemovedLeaf string
 	// UnreadableLeaf is a leaf whose entry cannot be decoded: there is no leaf to
 	// use under this ID.
 	UnreadableLeaf string
@@ -85,15 +85,15 @@
 
 // Sink takes over what is published.
 type Sink interface {
-	LeafSeen(leaf replica.Leaf)
-	LeafGone(id string)
+	LeafUpdated(leaf replica.Leaf)
+	LeafRemoved(id string)
 	// LeafUnreadable is told a leaf whose entry cannot be decoded.
 	LeafUnreadable(id string)
-	// ZoneEvacuated is told a zone that the operator evacuates, or has taken back.
-	ZoneEvacuated(zone string, evacuated bool)
+	// ZoneEvacuationChanged is told a zone that the operator evacuates, or has taken back.
+	ZoneEvacuationChanged(zone string, evacuated bool)
 	// Listed is told a complete listing: what it lacks is gone.
 	Listed(l Listing)
-	ConfigSeen(c *routing.Config, origin Origin)
-	// StoreReturned is told before the first events after an outage.
-	StoreReturned()
+	ConfigUpdated(c *routing.Config, origin Origin)
+	// StoreRecovered is told before the first events after an outage.
+	StoreRecovered()
 }
--- a/pkg/discovery/fed.go
+++ b/pkg/discovery/fed.go
@@ -22,7 +22,7 @@
 func (f *Follower) OnProof(gap func(time.Duration)) { f.proofGap = gap }
 
 // Since is what has changed after a position.
-func (f *Follower) Since(after feed.Position) feed.Page {
+func (f *Follower) Since(after feed.Position) feed.Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.book.Since(after, time.Now())
@@ -32,7 +32,7 @@
 func (f *Follower) Known() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.book.Known()
+	return f.book.Synced()
 }
 
 // Position is the store's as of the latest change that is known.
@@ -117,28 +117,28 @@
 	// Others could not read the store, or are gone, and this instance takes over. If that
 	// was an outage, leafs that vanished meanwhile may only have lapsed.
 	f.lastGood = loaded(&f.provenAt)
-	if !f.lastGood.IsZero() && time.Since(f.lastGood) >= f.opts.AwayAfter {
+	if !f.lastGood.IsZero() && time.Since(f.lastGood) >= f.opts.OutageThreshold {
 		f.failingSince = f.lastGood
 	}
 }
 
 // TakeFed takes over a page that another instance has sent.
-func (f *Follower) TakeFed(p feed.Page) error {
-	if err := p.Check(); err != nil {
+func (f *Follower) TakeFed(p feed.Update) error {
+	if err := p.Validate(); err != nil {
 		return err
 	}
-	returned := time.Now().Add(-time.Duration(p.ReturnedMs) * time.Millisecond)
-	if p.ReturnedMs > 0 {
+	returned := time.Now().Add(-time.Duration(p.RecoveredMsAgo) * time.Millisecond)
+	if p.RecoveredMsAgo > 0 {
 		f.returned(returned)
 	}
 	f.mu.Lock()
-	if err := f.book.Fits(p); err != nil {
+	if err := f.book.CheckApplicable(p); err != nil {
 		f.mu.Unlock()
 		return err
 	}
-	first := p.Full && !f.book.Known()
+	first := p.Full && !f.book.Synced()
 	restored := f.restored(p.To, returned, FromPeer)
-	fresh := f.book.Take(p)
+	fresh := f.book.Apply(p)
 	f.rise()
 	events := make([]Event, 0, len(fresh))
 	listing := newListing()
@@ -170,12 +170,12 @@
 // reports whether it is; mu is held. What the store has lost holds for a while from then on.
 func (f *Follower) restored(to feed.Position, at time.Time, origin Origin) bool {
 	was := f.Position()
-	if !f.book.Known() || to.Era <= was.Era {
+	if !f.book.Synced() || to.Era <= was.Era {
 		return false
 	}
 	f.restores.Add(1)
-	f.book.Restored(at)
-	f.sink.StoreReturned()
+	f.book.NoteRestore(at)
+	f.sink.StoreRecovered()
 	f.log.State("store_era_changed", oplog.Fields{
 		"era": to.Era, "revision": to.Revision, "was_era": was.Era, "was_revision": was.Revision, "origin": origin,
 	})
@@ -186,7 +186,7 @@
 func (f *Follower) Sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	lapsed := f.book.Lapse(now, f.opts.Hold, f.config.Item.Key)
+	lapsed := f.book.ExpireHeld(now, f.opts.LostEntryGrace, f.config.Item.Key)
 	if len(lapsed) == 0 {
 		return
 	}
@@ -224,25 +224,25 @@
 func (f *Follower) forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.book = feed.NewBook()
+	f.book = feed.NewCache()
 	f.position.Store(&feed.Position{})
 }
 
 // take takes over what the store has answered, unless that does not go on from what is known by now.
-func (f *Follower) take(p feed.Page, events []Event) bool {
+func (f *Follower) take(p feed.Update, events []Event) bool {
 	for _, e := range events {
 		if e.Item.Key != "" {
 			p.Items = append(p.Items, e.Item)
 		}
 	}
 	f.mu.Lock()
-	if f.book.Fits(p) != nil {
+	if f.book.CheckApplicable(p) != nil {
 		f.mu.Unlock()
 		return false
 	}
 	f.restored(p.To, time.Now(), FromStore)
 	fresh := make(map[string]bool)
-	for _, it := range f.book.Take(p) {
+	for _, it := range f.book.Apply(p) {
 		fresh[it.Key] = true
 	}
 	f.rise()
@@ -276,9 +276,9 @@
 // returned notes that the store has come back after an outage.
 func (f *Follower) returned(at time.Time) {
 	f.mu.Lock()
-	news := f.book.Returned(at)
+	news := f.book.NoteRecovery(at)
 	f.mu.Unlock()
 	if news {
-		f.sink.StoreReturned()
+		f.sink.StoreRecovered()
 	}
 }
--- a/pkg/discovery/fed_test.go
+++ b/pkg/discovery/fed_test.go
@@ -32,8 +32,8 @@
 	f.SetReading(false, longpoll.Group{})
 	changes := 0
 	f.OnChange(func() { changes++ })
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(9), Items: []feed.Item{entry("a", 3), entry("config", 9)}}))
-	require.NoError(t, f.TakeFed(feed.Page{From: at(9), To: at(11), Items: []feed.Item{entry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: at(9), Items: []feed.Item{entry("a", 3), entry("config", 9)}}))
+	require.NoError(t, f.TakeFed(feed.Update{From: at(9), To: at(11), Items: []feed.Item{entry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
 	require.ElementsMatch(t, []string{"leaf a", "config", "listed", "leaf b", "gone a"}, r.told)
 	require.Equal(t, 2, changes, "those that are fed by it are told")
 	f.SetReading(true, longpoll.Group{})
@@ -52,9 +52,9 @@
 	}
 	f, r := follower(s)
 	f.step(context.Background())
-	require.NoError(t, f.TakeFed(feed.Page{From: at(5), To: at(6), Items: []feed.Item{entry("b", 6)}}))
+	require.NoError(t, f.TakeFed(feed.Update{From: at(5), To: at(6), Items: []feed.Item{entry("b", 6)}}))
 	f.step(context.Background())
-	require.NoError(t, f.TakeFed(feed.Page{From: at(5), To: at(7), Items: []feed.Item{entry("a", 3), entry("b", 6)}}))
+	require.NoError(t, f.TakeFed(feed.Update{From: at(5), To: at(7), Items: []feed.Item{entry("a", 3), entry("b", 6)}}))
 	require.Equal(t, []string{"leaf a", "listed", "leaf b"}, r.told)
 }
 
@@ -64,7 +64,7 @@
 	s := &script{}
 	f, r := follower(s)
 	s.onList = func() {
-		require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(8), Items: []feed.Item{entry("a", 3), entry("new", 8)}}))
+		require.NoError(t, f.TakeFed(feed.Update{Full: true, To: at(8), Items: []feed.Item{entry("a", 3), entry("new", 8)}}))
 	}
 	s.lists = []Page{{Events: []Event{entryEvent("a", 3)}, At: at(5)}}
 	f.step(context.Background())
@@ -76,7 +76,7 @@
 // that the store has not reached; the changes up to it are taken for old. Cause it guards
 // against: believing one instance for good.
 func TestRevisionThatTheStoreNeverHadIsForgotten(t *testing.T) {
-	bad := feed.Page{Full: true, To: at(900), Items: []feed.Item{entry("a", 900)}}
+	bad := feed.Update{Full: true, To: at(900), Items: []feed.Item{entry("a", 900)}}
 	t.Run("by the store's answer", func(t *testing.T) {
 		s := &script{
 			lists:   []Page{{Events: []Event{entryEvent("b", 12)}, At: at(12)}},
@@ -97,12 +97,12 @@
 		require.False(t, f.Contradicted(at(900), time.Now().Add(time.Minute)))
 		require.True(t, f.Contradicted(at(12), time.Now().Add(time.Minute)))
 		require.False(t, f.Known())
-		require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(12), Items: []feed.Item{entry("c", 12)}}))
+		require.NoError(t, f.TakeFed(feed.Update{Full: true, To: at(12), Items: []feed.Item{entry("c", 12)}}))
 		require.Equal(t, at(12), f.Position())
 		require.Equal(t, map[string]bool{"c": true}, r.listing.Leafs, "what is not there any more is out of use")
 	})
 	f, _ := follower(&script{})
-	require.ErrorIs(t, f.TakeFed(feed.Page{Full: true, To: at(1 << 60)}), feed.ErrPosition)
+	require.ErrorIs(t, f.TakeFed(feed.Update{Full: true, To: at(1 << 60)}), feed.ErrInvalidPosition)
 	require.False(t, f.Known())
 }
 
@@ -111,14 +111,14 @@
 // from one that could not read it.
 func TestReturnOfTheStoreIsHeardOf(t *testing.T) {
 	f, r := follower(&script{})
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(3), ReturnedMs: 40}))
-	require.NoError(t, f.TakeFed(feed.Page{From: at(3), To: at(4), ReturnedMs: 90}))
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: at(3), RecoveredMsAgo: 40}))
+	require.NoError(t, f.TakeFed(feed.Update{From: at(3), To: at(4), RecoveredMsAgo: 90}))
 	require.Equal(t, []string{"returned", "listed"}, r.told)
 
 	s := &script{watches: []func() (Page, error){empty}}
 	f, r = follower(s)
 	f.SetReading(false, longpoll.Group{})
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: at(3)}))
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: at(3)}))
 	f.Proven(time.Now().Add(-time.Minute))
 	f.SetReading(true, longpoll.Group{})
 	f.idle(context.Background())
--- a/pkg/discovery/listing.go
+++ b/pkg/discovery/listing.go
@@ -26,7 +26,7 @@
 	for _, e := range events {
 		listing.add(e)
 	}
-	if !f.take(feed.Page{Full: true, To: at}, events) {
+	if !f.take(feed.Update{Full: true, To: at}, events) {
 		return nil // Another instance has told of a later era.
 	}
 	f.addKnown(listing, at)
--- a/pkg/discovery/restored_test.go
+++ b/pkg/discovery/restored_test.go
@@ -44,7 +44,7 @@
 				watches: []func() (Page, error){answer, func() (Page, error) { return Page{At: in(1, 9)}, nil }},
 			}
 			f, r := follower(s)
-			f.opts.AwayAfter = time.Minute
+			f.opts.OutageThreshold = time.Minute
 			f.step(context.Background())
 			f.step(context.Background())
 			require.Equal(t, at(10), f.Position(), "what is known holds")
@@ -67,12 +67,12 @@
 		watches: []func() (Page, error){func() (Page, error) { return Page{At: in(1, 9)}, nil }},
 	}
 	f, r := follower(s)
-	f.opts.Hold = time.Second
+	f.opts.LostEntryGrace = time.Second
 	f.step(context.Background())
 	f.step(context.Background())
 	f.step(context.Background())
 	require.Equal(t, map[string]bool{"a": true, "b": true}, r.listing.Leafs)
-	require.NoError(t, f.TakeFed(feed.Page{From: in(1, 8), To: in(1, 9), Items: []feed.Item{seen("a", 1, 9).Item}}))
+	require.NoError(t, f.TakeFed(feed.Update{From: in(1, 8), To: in(1, 9), Items: []feed.Item{seen("a", 1, 9).Item}}))
 	r.told = nil
 	f.Sweep(time.Now())
 	require.Empty(t, r.told)
@@ -123,7 +123,7 @@
 	defer stop()
 	go f.Run(ctx)
 	require.Equal(t, at(10), <-waits.began)
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: in(1, 8)}))
 	require.ErrorIs(t, <-waits.ended, context.Canceled)
 	require.Equal(t, in(1, 8), <-waits.began)
 	stop()
@@ -168,10 +168,10 @@
 // Guards against: pages of other instances that leave a gap, or go back to an era that is over.
 func TestPagesOfOthersThatDoNotFitAreRefused(t *testing.T) {
 	f, r := follower(&script{})
-	require.ErrorIs(t, f.TakeFed(feed.Page{From: at(3), To: at(4)}), feed.ErrGap)
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
-	require.ErrorIs(t, f.TakeFed(feed.Page{From: in(1, 9), To: in(1, 10), Items: []feed.Item{seen("x", 1, 10).Item}}), feed.ErrGap)
-	require.ErrorIs(t, f.TakeFed(feed.Page{Full: true, To: at(90), Items: []feed.Item{entry("x", 90)}}), feed.ErrEra)
+	require.ErrorIs(t, f.TakeFed(feed.Update{From: at(3), To: at(4)}), feed.ErrGap)
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: in(1, 8)}))
+	require.ErrorIs(t, f.TakeFed(feed.Update{From: in(1, 9), To: in(1, 10), Items: []feed.Item{seen("x", 1, 10).Item}}), feed.ErrGap)
+	require.ErrorIs(t, f.TakeFed(feed.Update{Full: true, To: at(90), Items: []feed.Item{entry("x", 90)}}), feed.ErrStaleEra)
 	require.Equal(t, in(1, 8), f.Position())
 	require.Equal(t, []string{"listed"}, r.told)
 }
@@ -180,7 +180,7 @@
 // although the store never had it.
 func TestPositionsOfErasAreContradictedByEra(t *testing.T) {
 	f, _ := follower(&script{})
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: in(1, 8)}))
 	later := time.Now().Add(time.Minute)
 	require.False(t, f.Contradicted(in(2, 3), later))
 	require.True(t, f.Contradicted(in(0, 900), later))
@@ -192,7 +192,7 @@
 	var f *Follower
 	s := &script{lists: []Page{{At: at(10)}}}
 	late := func() (Page, error) {
-		require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(1, 8)}))
+		require.NoError(t, f.TakeFed(feed.Update{Full: true, To: in(1, 8)}))
 		return Page{At: at(12), Events: []Event{seen("late", 0, 12)}}, nil
 	}
 	s.watches = []func() (Page, error){late, func() (Page, error) { return Page{At: in(1, 8)}, nil }}
@@ -214,7 +214,7 @@
 		{At: in(1, 8), Events: []Event{seen("b", 1, 8)}},
 	}}
 	f, r := follower(s)
-	f.opts.AwayAfter = time.Minute
+	f.opts.OutageThreshold = time.Minute
 	require.NotZero(t, f.step(context.Background()))
 	require.False(t, f.Known())
 	f.step(context.Background())
@@ -229,7 +229,7 @@
 		watches: []func() (Page, error){func() (Page, error) { return Page{At: in(1, 12)}, nil }},
 	}
 	f, r := follower(s)
-	require.NoError(t, f.TakeFed(feed.Page{Full: true, To: in(900, 1), Items: []feed.Item{seen("a", 900, 1).Item}}))
+	require.NoError(t, f.TakeFed(feed.Update{Full: true, To: in(900, 1), Items: []feed.Item{seen("a", 900, 1).Item}}))
 	f.step(context.Background())
 	require.False(t, f.Known())
 	f.step(context.Background())
--- a/pkg/feed/book.go
+++ b/pkg/feed/book.go
@@ -20,17 +20,17 @@
 	Raw []byte
 }
 
-// Page is what one instance tells another.
-type Page struct {
+// Update is what one instance tells another.
+type Update struct {
 	_ struct{} `cbor:",toarray"`
 	// Full: Items are all there is; otherwise what has changed after From.
 	Full bool
 	// From and To are the positions that the page leads from and to.
 	From, To Position
 	Items    []Item
-	// ReturnedMs is how long ago the store has come back after an outage, in ms; zero: it
+	// RecoveredMsAgo is how long ago the store has come back after an outage, in ms; zero: it
 	// has not of late.
-	ReturnedMs uint32
+	RecoveredMsAgo uint32
 }
 
 // revisionMost is far above what a counter of changes reaches; more is no revision.
@@ -43,18 +43,18 @@
 
 // Errors of pages.
 var (
-	// ErrPosition: a page claims a position that the store cannot have got to.
-	ErrPosition = errors.New("no such position of the store")
+	// ErrInvalidPosition: a page claims a position that the store cannot have got to.
+	ErrInvalidPosition = errors.New("no such position of the store")
 	// ErrGap: changes are missing between what is known and a page.
 	ErrGap = errors.New("changes are missing before the page")
-	// ErrEra: a page is of an era of the store that has ended.
-	ErrEra = errors.New("page of an era of the store that has ended")
+	// ErrStaleEra: a page is of an era of the store that has ended.
+	ErrStaleEra = errors.New("page of an era of the store that has ended")
 )
 
-// Check reports whether a page is one that a sound instance sends.
-func (p *Page) Check() error {
+// Validate reports whether a page is one that a sound instance sends.
+func (p *Update) Validate() error {
 	if !p.From.possible() || !p.To.possible() || p.To.Before(p.From) || (!p.Full && p.From.Era != p.To.Era) {
-		return ErrPosition
+		return ErrInvalidPosition
 	}
 	most := p.To
 	if p.Full {
@@ -62,7 +62,7 @@
 	}
 	for i := range p.Items {
 		if at := p.Items[i].At; !at.possible() || at.After(most) {
-			return ErrPosition
+			return ErrInvalidPosition
 		}
 	}
 	return nil
@@ -78,8 +78,8 @@
 	returnTold = 3 * time.Second
 )
 
-// Book is what one instance knows of the store. It is not safe for concurrent use.
-type Book struct {
+// Cache is what one instance knows of the store. It is not safe for concurrent use.
+type Cache struct {
 	items map[string]Item
 	at    Position
 	// floor is the position up to which deletions have been forgotten: who knows less
@@ -94,18 +94,18 @@
 	held bool
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{items: make(map[string]Item)} }
+// NewCache returns an empty book.
+func NewCache() *Cache { return &Cache{items: make(map[string]Item)} }
 
 // Position is the store's as of the latest entry.
-func (b *Book) Position() Position { return b.at }
+func (b *Cache) Position() Position { return b.at }
 
-// Known reports whether the book holds all of some position.
-func (b *Book) Known() bool { return b.known }
+// Synced reports whether the book holds all of some position.
+func (b *Cache) Synced() bool { return b.known }
 
-// Returned notes that the store has come back after an outage. It reports whether that is
+// NoteRecovery notes that the store has come back after an outage. It reports whether that is
 // news: several may tell of one return.
-func (b *Book) Returned(at time.Time) bool {
+func (b *Cache) NoteRecovery(at time.Time) bool {
 	if at.Sub(b.returnedAt) < returnTold {
 		return false
 	}
@@ -113,14 +113,14 @@
 	return true
 }
 
-// Restored notes that the store has come back in another era.
-func (b *Book) Restored(at time.Time) { b.returnedAt = at }
+// NoteRestore notes that the store has come back in another era.
+func (b *Cache) NoteRestore(at time.Time) { b.returnedAt = at }
 
-// Fits reports whether a page can be taken over, as far as what is known goes.
-func (b *Book) Fits(p Page) error {
+// CheckApplicable reports whether a page can be taken over, as far as what is known goes.
+func (b *Cache) CheckApplicable(p Update) error {
 	switch {
 	case b.known && p.To.Era < b.at.Era:
-		return ErrEra
+		return ErrStaleEra
 	case p.Full:
 		return nil
 	case !b.known || p.From.Era != b.at.Era || p.From.After(b.at):
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// Take takes over a page that fits and returns what is new in it. Entries are compared one by one,
+// Apply takes over a page that fits and returns what is new in it. Entries are compared one by one,
 // so that a page of an instance that is behind takes nothing back.
-func (b *Book) Take(p Page) []Item {
+func (b *Cache) Apply(p Update) []Item {
 	var fresh []Item
 	behind := b.known && p.To.Before(b.at)
 	for _, it := range p.Items {
@@ -156,13 +156,13 @@
 
 // deletedBefore reports whether an entry of a page that is behind has been deleted since. At its floor the
 // book had all entries that there were, so one that is as old and was not among them was gone by then.
-func (b *Book) deletedBefore(it Item) bool {
+func (b *Cache) deletedBefore(it Item) bool {
 	have, ok := b.items[it.Key]
 	return it.At.Era == b.floor.Era && !it.At.After(b.floor) && (!ok || have.At.Era < it.At.Era)
 }
 
 // put takes over an entry if it is newer than the one that is known.
-func (b *Book) put(it Item) bool {
+func (b *Cache) put(it Item) bool {
 	have, ok := b.items[it.Key]
 	if it.Key == "" || (ok && !it.At.After(have.At)) {
 		return false
@@ -177,7 +177,7 @@
 
 // missing turns entries that a full page lacks into deletions, but for those of an earlier era: the
 // store has lost them, and they are held.
-func (b *Book) missing(p Page) []Item {
+func (b *Cache) missing(p Update) []Item {
 	listed := make(map[string]bool, len(p.Items))
 	for _, it := range p.Items {
 		listed[it.Key] = it.At.Era == p.To.Era // One that is held there is not in the store.
@@ -196,16 +196,16 @@
 }
 
 // delete turns an entry into a deletion.
-func (b *Book) delete(key string, at Position) Item {
+func (b *Cache) delete(key string, at Position) Item {
 	gone := Item{Key: key, At: at, Deleted: true}
 	b.items[key] = gone
 	b.deletions++
 	return gone
 }
 
-// Lapse turns entries that are held into deletions when the time to write them again is over, but for
+// ExpireHeld turns entries that are held into deletions when the time to write them again is over, but for
 // one that stays until it is replaced, and returns them.
-func (b *Book) Lapse(now time.Time, hold time.Duration, stays string) []Item {
+func (b *Cache) ExpireHeld(now time.Time, hold time.Duration, stays string) []Item {
 	if !b.held || now.Sub(b.returnedAt) < hold {
 		return nil
 	}
@@ -220,8 +220,8 @@
 	return out
 }
 
-// Keep replaces the content of an entry that the book holds, at the same position.
-func (b *Book) Keep(key string, raw []byte) {
+// ReplaceContent replaces the content of an entry that the book holds, at the same position.
+func (b *Cache) ReplaceContent(key string, raw []byte) {
 	if it, ok := b.items[key]; ok && !it.Deleted {
 		it.Raw = raw
 		b.items[key] = it
@@ -229,7 +229,7 @@
 }
 
 // forget drops deletions when there are too many of them.
-func (b *Book) forget() {
+func (b *Cache) forget() {
 	if b.deletions <= deletionsKept {
 		return
 	}
@@ -243,10 +243,10 @@
 }
 
 // Since is what has changed after a position, or all there is where that is not known.
-func (b *Book) Since(after Position, now time.Time) Page {
-	p := Page{From: after, To: b.at}
+func (b *Cache) Since(after Position, now time.Time) Update {
+	p := Update{From: after, To: b.at}
 	if !b.returnedAt.IsZero() && (b.held || now.Sub(b.returnedAt) < returnTold) {
-		p.ReturnedMs = uint32(max(now.Sub(b.returnedAt).Milliseconds(), 1))
+		p.RecoveredMsAgo = uint32(max(now.Sub(b.returnedAt).Milliseconds(), 1))
 	}
 	if after.Revision <= 0 || after.Before(b.floor) {
 		p.Full, p.From = true, Position{}
--- a/pkg/feed/plan_test.go
+++ b/pkg/feed/plan_test.go
@@ -20,7 +20,7 @@
 
 // simReader is one instance.
 type simReader struct {
-	plan   *Plan
+	plan   *Planner
 	listen []string
 	read   bool
 	proven time.Time
@@ -41,7 +41,7 @@
 func newSimZone(n int) *simZone {
 	z := &simZone{now: time.Unix(9000, 0)}
 	for range n {
-		z.order = append(z.order, &simReader{plan: NewPlan(Options{Fresh: simFresh, StartWait: 300 * time.Millisecond}, z.now)})
+		z.order = append(z.order, &simReader{plan: NewPlanner(Options{MaxAge: simFresh, StartWait: 300 * time.Millisecond}, z.now)})
 	}
 	return z
 }
@@ -73,9 +73,9 @@
 				}
 				return *z.order[j]
 			}
-			r.listen, r.read = r.plan.Step(View{
-				Ahead: z.reach(0, i), Behind: z.reach(i+1, len(z.order)), Own: r.answered, Knows: !r.proven.IsZero(),
-				Answered: func(name string) time.Time { return other(name).answered },
+			r.listen, r.read = r.plan.Decide(View{
+				Ahead: z.reach(0, i), Behind: z.reach(i+1, len(z.order)), OwnAnswered: r.answered, Synced: !r.proven.IsZero(),
+				LastAnswered: func(name string) time.Time { return other(name).answered },
 			}, z.now)
 			for _, name := range r.listen {
 				if at := other(name).proven; at.After(r.proven) {
@@ -118,7 +118,7 @@
 func TestTwoReadForAll(t *testing.T) {
 	z := newSimZone(40)
 	z.run(5 * time.Second)
-	require.Equal(t, Readers, z.readers())
+	require.Equal(t, ReadersPerZone, z.readers())
 	for i, r := range z.order[2:] {
 		require.False(t, r.read, i)
 		require.Equal(t, []string{"0", "1"}, r.listen)
@@ -150,12 +150,12 @@
 					require.LessOrEqual(t, z.oldest(), simFresh+2*time.Second)
 				}
 				require.LessOrEqual(t, z.oldest(), time.Second)
-				require.LessOrEqual(t, most, struck+3*Readers)
+				require.LessOrEqual(t, most, struck+3*ReadersPerZone)
 				for _, r := range z.order[:struck] {
 					r.down, r.frozen, r.turned = false, false, false
 				}
 				z.run(8 * time.Second)
-				require.Equal(t, Readers, z.readers())
+				require.Equal(t, ReadersPerZone, z.readers())
 			})
 		}
 	}
@@ -183,7 +183,7 @@
 	z.run(2 * time.Second)
 	require.LessOrEqual(t, z.oldest(), time.Second)
 	z.run(6 * time.Second)
-	require.Equal(t, Readers, z.readers())
+	require.Equal(t, ReadersPerZone, z.readers())
 }
 
 // An instance that starts waits a moment for its peers, and then reads the store.
--- a/pkg/feed/subscription.go
+++ b/pkg/feed/subscription.go
@@ -13,12 +13,12 @@
 	askedAt time.Time
 }
 
-// Renewed notes that the peer is asked anew: what it claimed before does not count.
-func (s *Subscription) Renewed(now time.Time) { *s = Subscription{askedAt: now} }
+// Renew notes that the peer is asked anew: what it claimed before does not count.
+func (s *Subscription) Renew(now time.Time) { *s = Subscription{askedAt: now} }
 
-// Missed takes over the position that the peer claims, given the one that is known, and reports whether
+// Observe takes over the position that the peer claims, given the one that is known, and reports whether
 // the peer is to be asked anew.
-func (s *Subscription) Missed(claimed, known Position, now time.Time) bool {
+func (s *Subscription) Observe(claimed, known Position, now time.Time) bool {
 	missed := known.Before(s.claimed) && now.Sub(s.askedAt) >= askAgain
 	s.claimed = claimed
 	return missed
--- a/pkg/feed/subscription_test.go
+++ b/pkg/feed/subscription_test.go
@@ -11,12 +11,12 @@
 func TestMissedChangesAreAskedForOnce(t *testing.T) {
 	now := bookStart
 	var s Subscription
-	require.False(t, s.Missed(at(9), at(5), now), "they may still be under way")
-	require.True(t, s.Missed(at(9), at(5), now.Add(askAgain)))
-	s.Renewed(now.Add(askAgain))
-	require.False(t, s.Missed(at(9), at(5), now.Add(askAgain)))
-	require.False(t, s.Missed(at(9), at(5), now.Add(2*askAgain-1)))
-	require.True(t, s.Missed(at(9), at(5), now.Add(2*askAgain)))
-	require.False(t, s.Missed(at(12), at(9), now.Add(9*askAgain)), "what it named before is known")
-	require.True(t, s.Missed(at(12), at(11), now.Add(9*askAgain)))
+	require.False(t, s.Observe(at(9), at(5), now), "they may still be under way")
+	require.True(t, s.Observe(at(9), at(5), now.Add(askAgain)))
+	s.Renew(now.Add(askAgain))
+	require.False(t, s.Observe(at(9), at(5), now.Add(askAgain)))
+	require.False(t, s.Observe(at(9), at(5), now.Add(2*askAgain-1)))
+	require.True(t, s.Observe(at(9), at(5), now.Add(2*askAgain)))
+	require.False(t, s.Observe(at(12), at(9), now.Add(9*askAgain)), "what it named before is known")
+	require.True(t, s.Observe(at(12), at(11), now.Add(9*askAgain)))
 }
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -52,8 +52,8 @@
 	// statements the one with the higher incarnation holds.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
 	Status      Status `cbor:"5,keyasint,omitempty"`
-	// Room is how much work the member can take, in hundredths of a processor.
-	Room uint32 `cbor:"6,keyasint,omitempty"`
+	// Capacity is how much work the member can take, in hundredths of a processor.
+	Capacity uint32 `cbor:"6,keyasint,omitempty"`
 }
 
 // Usable reports whether work may be given to the member.
@@ -61,32 +61,32 @@
 
 // Options are the figures of the protocol.
 type Options struct {
-	// ProbeEvery is the period of pings; ProbeTimeout how long a direct answer may
+	// ProbeInterval is the period of pings; ProbeTimeout how long a direct answer may
 	// take before others are asked.
-	ProbeEvery   time.Duration
-	ProbeTimeout time.Duration
-	// Helpers is how many others are asked to ping a member that does not answer.
-	Helpers int
-	// SuspectFor is how long a member may object before it counts as dead, with ten
+	ProbeInterval time.Duration
+	ProbeTimeout  time.Duration
+	// IndirectProbes is how many others are asked to ping a member that does not answer.
+	IndirectProbes int
+	// SuspicionTimeout is how long a member may object before it counts as dead, with ten
 	// members; it grows with the logarithm of their number, as news takes longer.
-	SuspectFor time.Duration
-	// JoinEvery is how often a seed, or a member believed dead, is asked for its
+	SuspicionTimeout time.Duration
+	// JoinInterval is how often a seed, or a member believed dead, is asked for its
 	// list, so that parts that were cut off from each other find together again.
-	JoinEvery time.Duration
-	// ForgetAfter is how long a dead member is remembered.
-	ForgetAfter time.Duration
-	// Updates is how many news items go on one message, and Page how many members on
+	JoinInterval time.Duration
+	// DeadRetention is how long a dead member is remembered.
+	DeadRetention time.Duration
+	// MaxUpdates is how many news items go on one message, and Page how many members on
 	// one reply to a join: a datagram stays below 1,200 bytes.
-	Updates, Page int
+	MaxUpdates, PageSize int
 }
 
-// Defaults are the figures used where nothing else is set. What a member sends in a second does
+// DefaultOptions are the figures used where nothing else is set. What a member sends in a second does
 // not grow with the number of members.
-func Defaults() Options {
+func DefaultOptions() Options {
 	return Options{
-		ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, Helpers: 3,
-		SuspectFor: 3 * time.Second, JoinEvery: 2 * time.Second, ForgetAfter: time.Minute,
-		Updates: 8, Page: 16,
+		ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3,
+		SuspicionTimeout: 3 * time.Second, JoinInterval: 2 * time.Second, DeadRetention: time.Minute,
+		MaxUpdates: 8, PageSize: 16,
 	}
 }
 
@@ -280,7 +280,7 @@
 // updates are the news that go on the next message: those least often sent.
 func (s *State) updates() []Member {
 	slices.SortStableFunc(s.news, func(a, b news) int { return cmp.Compare(a.sent, b.sent) })
-	n := min(len(s.news), s.opts.Updates)
+	n := min(len(s.news), s.opts.MaxUpdates)
 	out := make([]Member, 0, n)
 	for i := range n {
 		out = append(out, s.news[i].member)
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -62,7 +62,7 @@
 		addrs = append(addrs, simAddr(seed))
 	}
 	self := Member{Name: fmt.Sprint("front-", i), Addr: simAddr(i), Zone: fmt.Sprint("z", i%4)}
-	return New(self, addrs, Defaults(), rand.New(rand.NewPCG(uint64(i), 3)), s.now)
+	return New(self, addrs, DefaultOptions(), rand.New(rand.NewPCG(uint64(i), 3)), s.now)
 }
 
 func (s *sim) send(from int, out []Envelope) {
@@ -310,7 +310,7 @@
 
 // What a hostile or newer peer sends is taken over or dropped; nothing else happens.
 func TestUnknownStatementsAreDropped(t *testing.T) {
-	s := New(Member{Name: "a", Addr: "10.0.0.1:1", Zone: "z"}, nil, Defaults(), rand.New(rand.NewPCG(1, 2)), time.Unix(1, 0))
+	s := New(Member{Name: "a", Addr: "10.0.0.1:1", Zone: "z"}, nil, DefaultOptions(), rand.New(rand.NewPCG(1, 2)), time.Unix(1, 0))
 	s.Receive(Message{Kind: 77, From: Member{Name: "", Addr: "x"}, Updates: []Member{{Name: "b", Status: 9}, {Name: "c", Status: Dead}}}, time.Unix(1, 0))
 	require.Empty(t, s.Members())
 	s.Receive(Message{Kind: Ping, From: Member{Name: "b", Addr: "10.0.0.2:1"}, Updates: []Member{{Name: "a", Status: Dead, Incarnation: 7}}}, time.Unix(1, 0))
@@ -323,9 +323,9 @@
 // named.
 func TestInventedMembersAreBounded(t *testing.T) {
 	now := time.Unix(1, 0)
-	s := New(Member{Name: "a", Addr: "10.0.0.1:1", Zone: "z"}, nil, Defaults(), rand.New(rand.NewPCG(1, 2)), now)
+	s := New(Member{Name: "a", Addr: "10.0.0.1:1", Zone: "z"}, nil, DefaultOptions(), rand.New(rand.NewPCG(1, 2)), now)
 	for i := range 5000 {
-		m := Message{Kind: List, From: Member{Name: "liar", Addr: "10.0.0.2:1"}}
+		m := Message{Kind: MemberList, From: Member{Name: "liar", Addr: "10.0.0.2:1"}}
 		for j := range 15 {
 			m.Updates = append(m.Updates, Member{Name: fmt.Sprint(i, "-", j), Addr: "10.0.0.3:1", Zone: "z"})
 		}
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -59,7 +59,7 @@
 	switch {
 	case target == nil:
 		s.probe = nil
-	case waited >= s.opts.ProbeEvery-s.opts.ProbeTimeout/2:
+	case waited >= s.opts.ProbeInterval-s.opts.ProbeTimeout/2:
 		s.probe = nil
 		if target.Status == Alive {
 			m := target.Member
@@ -69,8 +69,8 @@
 	case waited >= s.opts.ProbeTimeout && !s.probe.indirect:
 		s.probe.indirect = true
 		var out []Envelope
-		for _, helper := range s.pick(s.opts.Helpers, target.Name, Alive) {
-			out = append(out, s.envelope(helper.Addr, Message{Kind: PingFor, Seq: s.probe.seq, Target: target.Addr}))
+		for _, helper := range s.pick(s.opts.IndirectProbes, target.Name, Alive) {
+			out = append(out, s.envelope(helper.Addr, Message{Kind: PingReq, Seq: s.probe.seq, Target: target.Addr}))
 		}
 		return out
 	}
@@ -79,7 +79,7 @@
 
 // age turns suspects into dead members, and forgets those that are gone for long.
 func (s *State) age(now time.Time) {
-	wait := s.opts.SuspectFor * time.Duration(max(s.doublings(), 3)) / 3
+	wait := s.opts.SuspicionTimeout * time.Duration(max(s.doublings(), 3)) / 3
 	for name, m := range s.members {
 		gone := now.Sub(m.since)
 		switch {
@@ -87,12 +87,12 @@
 			dead := m.Member
 			dead.Status = Dead
 			s.take(dead, now)
-		case (m.Status == Dead || m.Status == Left) && gone >= s.opts.ForgetAfter:
+		case (m.Status == Dead || m.Status == Left) && gone >= s.opts.DeadRetention:
 			delete(s.members, name)
 		}
 	}
 	for seq, h := range s.helping {
-		if now.Sub(h.at) > 2*s.opts.ProbeEvery {
+		if now.Sub(h.at) > 2*s.opts.ProbeInterval {
 			delete(s.helping, seq)
 		}
 	}
--- a/pkg/membership/protocol.go
+++ b/pkg/membership/protocol.go
@@ -13,14 +13,14 @@
 	Ping Kind = iota
 	// Ack answers a Ping.
 	Ack
-	// PingFor asks the receiver to ping Target for the sender.
-	PingFor
+	// PingReq asks the receiver to ping Target for the sender.
+	PingReq
 	// Join asks for the members that the receiver knows.
 	Join
-	// List answers a Join with a part of them.
-	List
-	// Notice asks for nothing: it brings what comes with it.
-	Notice
+	// MemberList answers a Join with a part of them.
+	MemberList
+	// Gossip asks for nothing: it brings what comes with it.
+	Gossip
 )
 
 // Message is what instances send each other.
@@ -30,15 +30,15 @@
 	From Member `cbor:"3,keyasint"`
 	// Target is the address to be pinged for the sender (PingFor).
 	Target string `cbor:"4,keyasint,omitempty"`
-	// Count is how many members the sender knows, itself included.
-	Count int `cbor:"5,keyasint,omitempty"`
+	// MemberCount is how many members the sender knows, itself included.
+	MemberCount int `cbor:"5,keyasint,omitempty"`
 	// Updates is news, or a part of a list.
 	Updates []Member `cbor:"6,keyasint,omitempty"`
 	// After is the name after which a list is to go on (Join), or goes on (List); "" at
 	// its start and after its end.
 	After string `cbor:"7,keyasint,omitempty"`
-	// Near is how many members of its own zone the sender of a Join knows.
-	Near int `cbor:"8,keyasint,omitempty"`
+	// KnownInZone is how many members of its own zone the sender of a Join knows.
+	KnownInZone int `cbor:"8,keyasint,omitempty"`
 }
 
 // Envelope is a message on its way to an address.
@@ -50,19 +50,19 @@
 // envelope completes a message.
 func (s *State) envelope(to string, m Message) Envelope {
 	m.From = s.self
-	m.Count = s.alive() + 1
-	if m.Kind != List {
+	m.MemberCount = s.alive() + 1
+	if m.Kind != MemberList {
 		m.Updates = s.updates()
 	}
 	return Envelope{To: to, Message: m}
 }
 
-// Notices are messages to all other members that are in use, for what is sent with them.
-func (s *State) Notices() []Envelope {
+// GossipToAll are messages to all other members that are in use, for what is sent with them.
+func (s *State) GossipToAll() []Envelope {
 	var out []Envelope
 	for _, m := range s.Members() {
 		if m.Usable() {
-			out = append(out, s.envelope(m.Addr, Message{Kind: Notice}))
+			out = append(out, s.envelope(m.Addr, Message{Kind: Gossip}))
 		}
 	}
 	return out
@@ -86,19 +86,19 @@
 	for _, u := range m.Updates {
 		s.take(u, now)
 	}
-	s.expected = max(s.expected, m.Count)
+	s.expected = max(s.expected, m.MemberCount)
 	switch m.Kind {
 	case Ping:
 		return []Envelope{s.envelope(m.From.Addr, Message{Kind: Ack, Seq: m.Seq})}
 	case Ack:
 		return s.acked(m, now)
-	case PingFor:
+	case PingReq:
 		seq := s.next()
 		s.helping[seq] = helped{origin: m.From.Addr, seq: m.Seq, at: now}
 		return []Envelope{s.envelope(m.Target, Message{Kind: Ping, Seq: seq})}
 	case Join:
-		return s.list(m.From, m.After, m.Near)
-	case List:
+		return s.list(m.From, m.After, m.KnownInZone)
+	case MemberList:
 		if m.After != "" || len(m.Updates) > 0 {
 			s.cursor = m.After
 		}
@@ -150,16 +150,16 @@
 		}
 	}
 	next := ""
-	if most := listPages * s.opts.Page; len(far) > most {
+	if most := listPages * s.opts.PageSize; len(far) > most {
 		far = far[:most]
 		next = far[most-1].Name
 	}
 	if len(near) <= knows {
 		near = nil
 	}
-	out := []Envelope{s.envelope(to.Addr, Message{Kind: List, Updates: s.updates()})}
-	for page := range slices.Chunk(append(near, far...), s.opts.Page) {
-		out = append(out, s.envelope(to.Addr, Message{Kind: List, Updates: page, After: next}))
+	out := []Envelope{s.envelope(to.Addr, Message{Kind: MemberList, Updates: s.updates()})}
+	for page := range slices.Chunk(append(near, far...), s.opts.PageSize) {
+		out = append(out, s.envelope(to.Addr, Message{Kind: MemberList, Updates: page, After: next}))
 	}
 	return out
 }
@@ -170,7 +170,7 @@
 	out := s.join(now)
 	out = append(out, s.checkProbe(now)...)
 	s.age(now)
-	if s.leaving || now.Sub(s.probedAt) < s.opts.ProbeEvery {
+	if s.leaving || now.Sub(s.probedAt) < s.opts.ProbeInterval {
 		return out
 	}
 	return append(out, s.startProbe(now)...)
@@ -189,7 +189,7 @@
 // that parts that were cut off from each other find together again.
 func (s *State) join(now time.Time) []Envelope {
 	short := s.alive() == 0 || s.alive()+1 < s.expected || now.Sub(s.startedAt) < joinSettle
-	every := s.opts.JoinEvery
+	every := s.opts.JoinInterval
 	if short {
 		every = joinFast
 	}
@@ -214,7 +214,7 @@
 		m := Message{Kind: kind, Seq: s.next()}
 		if kind == Join {
 			m.After = s.cursor
-			m.Near = len(s.UsableIn(s.self.Zone))
+			m.KnownInZone = len(s.UsableIn(s.self.Zone))
 		}
 		out = append(out, s.envelope(to, m))
 	}
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -29,12 +29,12 @@
 // Adapter translates between the node and one platform.
 type Adapter struct {
 	// ReadyPath is where the balancer asks whether the instance is ready.
-	ReadyPath string
-	Source    func(storeAddress string, log *oplog.Log) discovery.Source
-	Leafs     func(pool *leafconn.Pool) gateway.Leafs
-	Door      func(g *gateway.Gateway, log *oplog.Log) http.Handler
-	// Peers translates for peers; nil: instances work alone.
-	Peers peers.Codec
+	ReadyPath     string
+	Source        func(storeAddress string, log *oplog.Log) discovery.Source
+	Leafs         func(pool *leafconn.Pool) gateway.Leafs
+	CallerHandler func(g *gateway.Gateway, log *oplog.Log) http.Handler
+	// PeerCodec translates for peers; nil: instances work alone.
+	PeerCodec peers.Codec
 }
 
 // logDrain is how long buffered log lines may take to be written at the end.
@@ -92,13 +92,13 @@
 	n.follower = discovery.NewFollower(adapter.Source(set.Store.Address, n.log), n, storeOptions(set), n.log)
 	gaps := n.metrics.NewHistogram("node_store_proof_gap_seconds")
 	n.follower.OnProof(func(gap time.Duration) { gaps.Update(gap.Seconds()) })
-	if n.front, err = front.New(set.Listen.Callers, adapter.Door(n.gateway, n.log), limitsUnknown, set.Limits.MaxConnections); err != nil {
+	if n.front, err = front.New(set.Listen.Callers, adapter.CallerHandler(n.gateway, n.log), limitsUnknown, set.Limits.MaxConnections); err != nil {
 		return nil, err
 	}
 	if n.status, err = n.newStatusServers(set, adapter.ReadyPath); err != nil {
 		return nil, err
 	}
-	if n.peering, err = n.newPeering(set, adapter.Peers); err != nil {
+	if n.peering, err = n.newPeering(set, adapter.PeerCodec); err != nil {
 		return nil, err
 	}
 	if n.peering == nil {
@@ -144,8 +144,8 @@
 
 func storeOptions(set *settings.Node) discovery.Options {
 	return discovery.Options{
-		Pace: set.Pace(), AwayAfter: settings.Duration(set.Store.AwayAfterMs),
-		Hold: settings.Duration(set.Leafs.LapseGraceMs),
+		Pace: set.Pace(), OutageThreshold: settings.Duration(set.Store.AwayAfterMs),
+		LostEntryGrace: settings.Duration(set.Leafs.LapseGraceMs),
 	}
 }
 
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Room: room(set)}
+	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Capacity: room(set)}
 	agent := peers.New(self, seedAddrs(set.Peers.Seeds, addr.Port), udp, codec, n.log)
 	agent.ShareWarming(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmers)
 	server.Heed(n.gateway.Quarantine())
@@ -58,7 +58,7 @@
 	if set.Peers.Feed {
 		n.follower.OnChange(server.Changed)
 		server.Feed(n.follower, func() bool { return n.gateway.Isolated(time.Now()) })
-		agent.Listen(n.follower, feed.Options{Fresh: set.WatchWait() + newsLate, StartWait: set.StartWait()}, set.Peers.FirstStart)
+		agent.Listen(n.follower, feed.Options{MaxAge: set.WatchWait() + newsLate, StartWait: set.StartWait()}, set.Peers.FirstStart)
 		n.follower.SetReading(false, longpoll.Group{}) // Until the agent has decided.
 	}
 	return &peering{agent: agent, server: server}, nil
@@ -149,8 +149,8 @@
 // isolated reports whether the peers that run this instance's queries are isolated.
 func (p *peering) isolated(now time.Time) bool { return p != nil && p.agent.Isolated(now) }
 
-// Handed is how many queries peers were asked to run.
-func (n *Node) Handed() int64 {
+// QueriesHandedOff is how many queries peers were asked to run.
+func (n *Node) QueriesHandedOff() int64 {
 	if n.peering == nil {
 		return 0
 	}
@@ -182,7 +182,7 @@
 	})
 	gauge("node_batches_sent", func() float64 { return float64(n.peering.agent.Sent.Load()) })
 	gauge("node_batches_direct", func() float64 { return float64(n.peering.agent.Fallbacks.Load()) })
-	gauge("node_queries_handed", func() float64 { return float64(n.Handed()) })
+	gauge("node_queries_handed", func() float64 { return float64(n.QueriesHandedOff()) })
 	gauge("node_queries_declined", func() float64 { return float64(n.peering.agent.Declined.Load()) })
 	gauge("node_queries_taken_late", func() float64 { return float64(n.peering.agent.TakenLate.Load()) })
 	gauge("node_queries_gathered", func() float64 { return float64(n.peering.server.Gathered.Load()) })
--- a/pkg/node/sink.go
+++ b/pkg/node/sink.go
@@ -9,8 +9,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// LeafSeen implements discovery.Sink.
-func (n *Node) LeafSeen(leaf replica.Leaf) {
+// LeafUpdated implements discovery.Sink.
+func (n *Node) LeafUpdated(leaf replica.Leaf) {
 	change := n.table.Upsert(leaf, time.Now())
 	if change == replica.Unchanged {
 		return
@@ -31,8 +31,8 @@
 	n.log.Decision("leaf_"+change.String(), fields)
 }
 
-// LeafGone implements discovery.Sink.
-func (n *Node) LeafGone(id string) {
+// LeafRemoved implements discovery.Sink.
+func (n *Node) LeafRemoved(id string) {
 	if n.table.Remove(id, time.Now()) {
 		n.forget(id, "no longer listed")
 	}
@@ -56,14 +56,14 @@
 func (n *Node) Listed(l discovery.Listing) {
 	for _, id := range n.table.IDs() {
 		if !l.Leafs[id] {
-			n.LeafGone(id)
+			n.LeafRemoved(id)
 		}
 	}
 	n.gateway.ReadmitExcept(func(zone string) bool { return l.Evacuated[zone] })
 }
 
-// ConfigSeen implements discovery.Sink.
-func (n *Node) ConfigSeen(c *routing.Config, origin discovery.Origin) {
+// ConfigUpdated implements discovery.Sink.
+func (n *Node) ConfigUpdated(c *routing.Config, origin discovery.Origin) {
 	if !n.gateway.SetConfig(c) {
 		return
 	}
@@ -74,8 +74,10 @@
 	})
 }
 
-// StoreReturned implements discovery.Sink.
-func (n *Node) StoreReturned() { n.table.StoreReturned(time.Now()) }
+// StoreRecovered implements discovery.Sink.
+func (n *Node) StoreRecovered() { n.table.StoreReturned(time.Now()) }
 
-// ZoneEvacuated implements discovery.Sink.
-func (n *Node) ZoneEvacuated(zone string, evacuated bool) { n.gateway.SetEvacuated(zone, evacuated) }
+// ZoneEvacuationChanged implements discovery.Sink.
+func (n *Node) ZoneEvacuationChanged(zone string, evacuated bool) {
+	n.gateway.SetEvacuated(zone, evacuated)
+}
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -242,7 +242,7 @@
 	case it.Key == simConfig:
 		e.Config = routing.NewConfig(versionOf(it), nil, nil, routing.Limits{})
 	case it.Deleted:
-		e.GoneLeaf = it.Key
+		e.RemovedLeaf = it.Key
 	default:
 		e.Leaf = &replica.Leaf{ID: it.Key}
 	}
@@ -363,8 +363,8 @@
 	return i.simStore.Watch(ctx, after, wait)
 }
 
-// ConfigSeen implements discovery.Sink.
-func (i *simInstance) ConfigSeen(c *routing.Config, _ discovery.Origin) {
+// ConfigUpdated implements discovery.Sink.
+func (i *simInstance) ConfigUpdated(c *routing.Config, _ discovery.Origin) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for v := i.newest + 1; v <= c.Version; v++ {
@@ -373,15 +373,15 @@
 	i.newest = max(i.newest, c.Version)
 }
 
-// LeafSeen implements discovery.Sink.
-func (i *simInstance) LeafSeen(l replica.Leaf) {
+// LeafUpdated implements discovery.Sink.
+func (i *simInstance) LeafUpdated(l replica.Leaf) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.leafs[l.ID] = true
 }
 
-// LeafGone implements discovery.Sink.
-func (i *simInstance) LeafGone(id string) {
+// LeafRemoved implements discovery.Sink.
+func (i *simInstance) LeafRemoved(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	delete(i.leafs, id)
@@ -394,9 +394,9 @@
 	maps.DeleteFunc(i.leafs, func(id string, _ bool) bool { return !l.Leafs[id] })
 }
 
-func (*simInstance) LeafUnreadable(string)      {}
-func (*simInstance) ZoneEvacuated(string, bool) {}
-func (*simInstance) StoreReturned()             {}
+func (*simInstance) LeafUnreadable(string)              {}
+func (*simInstance) ZoneEvacuationChanged(string, bool) {}
+func (*simInstance) StoreRecovered()                    {}
 
 // simFleet is a store and instances that follow it.
 type simFleet struct {
@@ -530,7 +530,7 @@
 		switch {
 		case f.isCut(): // The connection is lost; the next one begins where the listener is.
 			sent = listener.follower.Position()
-			subscription.Renewed(time.Now())
+			subscription.Renew(time.Now())
 		default:
 			sent = f.tell(source.follower, listener, sent, subscription)
 		}
@@ -560,8 +560,8 @@
 	}
 	contradicted := known && to.Contradicted(page.To, time.Now().Add(-confirmed))
 	switch {
-	case contradicted, subscription.Missed(page.To, to.Position(), time.Now()):
-		subscription.Renewed(time.Now())
+	case contradicted, subscription.Observe(page.To, to.Position(), time.Now()):
+		subscription.Renew(time.Now())
 		return to.Position()
 	case known && page.To.Era == to.Position().Era && !page.To.After(to.Position()):
 		to.Proven(time.Now().Add(-confirmed))
--- a/pkg/peers/datagrams.go
+++ b/pkg/peers/datagrams.go
@@ -104,7 +104,7 @@
 		return
 	}
 	p.mu.Lock()
-	out := p.members.Notices()
+	out := p.members.GossipToAll()
 	p.mu.Unlock()
 	for _, e := range out {
 		p.send(e.To, packet{Message: e.Message, Requests: notes})
@@ -115,7 +115,7 @@
 func (p *Peers) transmit(out []membership.Envelope) {
 	for _, e := range out {
 		m := packet{Message: e.Message}
-		if p.quarantine != nil && e.Message.Kind != membership.List {
+		if p.quarantine != nil && e.Message.Kind != membership.MemberList {
 			m.Requests = p.quarantine.Some(carried, time.Now())
 		}
 		p.send(e.To, m)
--- a/pkg/peers/feeder.go
+++ b/pkg/peers/feeder.go
@@ -17,7 +17,7 @@
 // Store is what an instance knows of the platform's store.
 type Store interface {
 	// Since is what has changed after a position, and Known whether there is anything.
-	Since(after feed.Position) feed.Page
+	Since(after feed.Position) feed.Update
 	Known() bool
 	Position() feed.Position
 	// ProvenAt is when the store last answered, this instance or one that feeds it.
@@ -29,7 +29,7 @@
 	// AnsweredAt is when it last answered this instance itself.
 	AnsweredAt() time.Time
 	// TakeFed takes over what another instance has sent.
-	TakeFed(p feed.Page) error
+	TakeFed(p feed.Update) error
 	// Contradicted takes over where the store was when it answered another
 	// instance at a time, and reports whether what was known has been dropped for it.
 	Contradicted(store feed.Position, at time.Time) bool
@@ -193,10 +193,10 @@
 }
 
 // pack encodes and compresses a page: entries are texts that resemble each other.
-func (f *feeder) pack(p feed.Page) ([]byte, error) {
+func (f *feeder) pack(p feed.Update) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.packed != nil && f.packedFrom == p.From && f.packedTo == p.To && f.packedFull == p.Full && p.ReturnedMs == 0 {
+	if f.packed != nil && f.packedFrom == p.From && f.packedTo == p.To && f.packedFull == p.Full && p.RecoveredMsAgo == 0 {
 		return f.packed, nil
 	}
 	raw, err := cbor.Marshal(p)
@@ -214,15 +214,15 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	if p.ReturnedMs == 0 {
+	if p.RecoveredMsAgo == 0 {
 		f.packed, f.packedFrom, f.packedTo, f.packedFull = out.Bytes(), p.From, p.To, p.Full
 	}
 	return out.Bytes(), nil
 }
 
 // unpack is the inverse of pack.
-func unpack(raw []byte) (feed.Page, error) {
-	var p feed.Page
+func unpack(raw []byte) (feed.Update, error) {
+	var p feed.Update
 	r := flate.NewReader(bytes.NewReader(raw))
 	all, err := io.ReadAll(io.LimitReader(r, pageMost))
 	if err != nil {
--- a/pkg/peers/feeds.go
+++ b/pkg/peers/feeds.go
@@ -12,7 +12,7 @@
 // feeds is the part of an agent that listens to peers.
 type feeds struct {
 	store Store
-	plan  *feed.Plan
+	plan  *feed.Planner
 	// fresh is how old the last answer of the store is at most at one that reads it well.
 	fresh time.Duration
 	// firstStart: all instances start for the first time, and know few of each other yet.
@@ -33,7 +33,7 @@
 // Listen lets the agent be fed by its peers; firstStart: all instances start for the first
 // time. It is called before Run.
 func (p *Peers) Listen(store Store, opts feed.Options, firstStart bool) {
-	p.feeds = &feeds{store: store, firstStart: firstStart, fresh: opts.Fresh, plan: feed.NewPlan(opts, time.Now()), heard: make(map[string]heard), subscriptions: make(map[string]*feed.Subscription)}
+	p.feeds = &feeds{store: store, firstStart: firstStart, fresh: opts.MaxAge, plan: feed.NewPlanner(opts, time.Now()), heard: make(map[string]heard), subscriptions: make(map[string]*feed.Subscription)}
 }
 
 // follow decides to whom this instance listens and whether it reads the store, and returns
@@ -43,16 +43,16 @@
 		return nil
 	}
 	store := p.feeds.store
-	if p.roles.near+1 < feed.LeastMembers && (store.Known() || !p.feeds.firstStart && p.roles.others > 0) {
+	if p.roles.near+1 < feed.MinMembers && (store.Known() || !p.feeds.firstStart && p.roles.others > 0) {
 		next := append(p.names(p.roles.behind, now), p.names(p.roles.ahead, now)...)
-		listen := append(next[:min(len(next), feed.Readers)], p.farReaders(now)...)
+		listen := append(next[:min(len(next), feed.ReadersPerZone)], p.farReaders(now)...)
 		store.SetReading(true, p.group(listen, now))
 		return listen
 	}
-	listen, read := p.feeds.plan.Step(feed.View{
+	listen, read := p.feeds.plan.Decide(feed.View{
 		Ahead: p.names(p.roles.ahead, now), Behind: p.names(p.roles.behind, now),
-		Answered: func(name string) time.Time { return p.feeds.answered(name, now) },
-		Own:      store.AnsweredAt(), Knows: store.Known(),
+		LastAnswered: func(name string) time.Time { return p.feeds.answered(name, now) },
+		OwnAnswered:  store.AnsweredAt(), Synced: store.Known(),
 	}, now)
 	if read {
 		listen = append(listen, p.farReaders(now)...)
@@ -163,7 +163,7 @@
 		subscription = &feed.Subscription{}
 		p.feeds.subscriptions[c.peer.Name] = subscription
 	}
-	subscription.Renewed(time.Now())
+	subscription.Renew(time.Now())
 	p.log.Decision("feed_asked", oplog.Fields{"peer": c.peer.Name, "after_era": l.After.Era, "after": l.After.Revision, "stop": l.Stop, "reason": reason})
 	go c.listen(l)
 }
@@ -209,7 +209,7 @@
 	case !c.listening || subscription == nil:
 	case contradicted:
 		p.ask(c, listen{}, "contradicted")
-	case subscription.Missed(n.At, known, now):
+	case subscription.Observe(n.At, known, now):
 		p.ask(c, listen{After: known}, "missed")
 	}
 }
--- a/pkg/peers/feeds_test.go
+++ b/pkg/peers/feeds_test.go
@@ -23,7 +23,7 @@
 // memory is a Store that is a book and no more.
 type memory struct {
 	mu        sync.Mutex
-	book      *feed.Book
+	book      *feed.Cache
 	proven    time.Time
 	answered  time.Time
 	confirmed time.Time
@@ -34,7 +34,7 @@
 	contradicted int
 }
 
-func newMemory() *memory { return &memory{book: feed.NewBook()} }
+func newMemory() *memory { return &memory{book: feed.NewCache()} }
 
 // locked runs f under the lock and returns what it does.
 func locked[T any](m *memory, f func() T) T {
@@ -43,10 +43,10 @@
 	return f()
 }
 
-func (m *memory) Since(after feed.Position) feed.Page {
-	return locked(m, func() feed.Page { return m.book.Since(after, time.Now()) })
+func (m *memory) Since(after feed.Position) feed.Update {
+	return locked(m, func() feed.Update { return m.book.Since(after, time.Now()) })
 }
-func (m *memory) Known() bool             { return locked(m, m.book.Known) }
+func (m *memory) Known() bool             { return locked(m, m.book.Synced) }
 func (m *memory) Position() feed.Position { return locked(m, m.book.Position) }
 func (m *memory) ConfirmedAt() time.Time  { return locked(m, func() time.Time { return m.proven }) }
 func (m *memory) AnsweredAt() time.Time   { return locked(m, func() time.Time { return m.answered }) }
@@ -61,14 +61,14 @@
 	return locked(m, func() bool { m.contradicted++; return false })
 }
 
-func (m *memory) TakeFed(p feed.Page) error {
+func (m *memory) TakeFed(p feed.Update) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := errors.Join(p.Check(), m.book.Fits(p)); err != nil {
+	if err := errors.Join(p.Validate(), m.book.CheckApplicable(p)); err != nil {
 		m.refused++
 		return err
 	}
-	m.book.Take(p)
+	m.book.Apply(p)
 	return nil
 }
 
@@ -87,7 +87,7 @@
 	b := &feedBench{bench: newBench(t, nil), here: newMemory(), peer: newMemory()}
 	b.server.Feed(b.peer, b.isolated.Load)
 	b.agent = &Peers{log: quietLog(), conns: map[string]*clientConn{}, avoid: map[string]time.Time{}}
-	b.agent.Listen(b.here, feed.Options{Fresh: 2 * time.Second}, false)
+	b.agent.Listen(b.here, feed.Options{MaxAge: 2 * time.Second}, false)
 	b.attach(b.conn)
 	return b
 }
@@ -110,7 +110,7 @@
 // tell lets the peer know an entry.
 func (b *feedBench) tell(key string, revision int64) {
 	locked(b.peer, func() bool {
-		b.peer.book.Take(feed.Page{Full: !b.peer.book.Known(), To: at(revision), Items: []feed.Item{{Key: key, At: at(revision), Raw: []byte(key)}}})
+		b.peer.book.Apply(feed.Update{Full: !b.peer.book.Synced(), To: at(revision), Items: []feed.Item{{Key: key, At: at(revision), Raw: []byte(key)}}})
 		b.peer.proven, b.peer.answered = time.Now(), time.Now()
 		return true
 	})
@@ -155,8 +155,8 @@
 	b.listenTo()
 	b.eventually(func() bool { return b.here.Position() == at(9) })
 	for _, m := range []*memory{b.peer, b.here} {
-		locked(m, func() bool { m.book = feed.NewBook(); return true })
-		locked(m, func() []feed.Item { return m.book.Take(feed.Page{Full: true, To: at(5)}) })
+		locked(m, func() bool { m.book = feed.NewCache(); return true })
+		locked(m, func() []feed.Item { return m.book.Apply(feed.Update{Full: true, To: at(5)}) })
 	}
 	b.tell("b", 6)
 	b.tell("c", 7)
@@ -184,7 +184,7 @@
 // that is too large ends the connection.
 func TestBadPagesAreDropped(t *testing.T) {
 	b := newFeedBench(t)
-	packed := func(p feed.Page) []byte {
+	packed := func(p feed.Update) []byte {
 		raw, err := (&feeder{}).pack(p)
 		require.NoError(t, err)
 		return raw
@@ -207,10 +207,10 @@
 	}()
 	c := b.dial(ln.Addr().String())
 	b.attach(c)
-	frames <- packed(feed.Page{Full: true, To: at(1 << 60)})
+	frames <- packed(feed.Update{Full: true, To: at(1 << 60)})
 	frames <- []byte("no such thing")
-	frames <- packed(feed.Page{From: at(3), To: at(9), Items: []feed.Item{{Key: "x", At: at(12)}}})
-	frames <- packed(feed.Page{Full: true, To: at(9), Items: []feed.Item{{Key: "x", At: at(9)}}})
+	frames <- packed(feed.Update{From: at(3), To: at(9), Items: []feed.Item{{Key: "x", At: at(12)}}})
+	frames <- packed(feed.Update{Full: true, To: at(9), Items: []feed.Item{{Key: "x", At: at(9)}}})
 	b.eventually(func() bool { return b.here.Position() == at(9) })
 	require.Equal(t, 2, b.here.refused)
 	close(frames)
@@ -256,7 +256,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFeedBench(t)
-			locked(b.here, func() bool { b.here.book.Take(feed.Page{Full: true, To: at(1)}); return true })
+			locked(b.here, func() bool { b.here.book.Apply(feed.Update{Full: true, To: at(1)}); return true })
 			now := time.Now()
 			b.agent.mu.Lock()
 			defer b.agent.mu.Unlock()
@@ -266,7 +266,7 @@
 			}
 			listen := b.agent.follow(now)
 			require.Equal(t, tc.read, b.here.isReading())
-			if tc.near >= feed.LeastMembers {
+			if tc.near >= feed.MinMembers {
 				require.Len(t, listen, tc.ahead)
 			}
 			b.agent.avoid["z-a"] = now.Add(time.Minute)
@@ -331,7 +331,7 @@
 	defer b.agent.mu.Unlock()
 	b.agent.roles = roles{near: 3, others: 5, place: 0.5, ahead: members("a", 1), behind: members("b", 1, 1), far: members("far", 1, 1)}
 	require.Equal(t, []string{"b-a", "b-b"}, b.agent.follow(now))
-	locked(b.here, func() bool { b.here.book.Take(feed.Page{Full: true, To: at(1)}); return true })
+	locked(b.here, func() bool { b.here.book.Apply(feed.Update{Full: true, To: at(1)}); return true })
 	require.Equal(t, []string{"b-a", "b-b", "far-a", "far-b"}, b.agent.follow(now))
 	require.Equal(t, longpoll.Group{Place: 0.5}, b.here.group)
 	b.agent.feeds.heard["b-a"] = heard{answeredAt: now, at: now}
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -93,7 +93,7 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Peers{
 		self: self, codec: codec, log: log, udp: udp,
-		members: membership.New(self, seeds, membership.Defaults(), rng, time.Now()),
+		members: membership.New(self, seeds, membership.DefaultOptions(), rng, time.Now()),
 		conns:   make(map[string]*clientConn), dialing: make(map[string]bool), avoid: make(map[string]time.Time),
 		done: make(chan struct{}),
 	}
--- a/pkg/peers/queries_test.go
+++ b/pkg/peers/queries_test.go
@@ -257,7 +257,7 @@
 func members(zone string, room ...uint32) []membership.Member {
 	var out []membership.Member
 	for i, r := range room {
-		out = append(out, membership.Member{Name: zone + "-" + string(rune('a'+i)), Zone: zone, Room: r})
+		out = append(out, membership.Member{Name: zone + "-" + string(rune('a'+i)), Zone: zone, Capacity: r})
 	}
 	return out
 }
--- a/pkg/peers/roles.go
+++ b/pkg/peers/roles.go
@@ -120,8 +120,8 @@
 	}
 	out[self.Zone] = append(out[self.Zone], self)
 	for zone, in := range out {
-		if len(in) >= feed.LeastMembers {
-			out[zone] = byRoom(zone, in)[:feed.Readers]
+		if len(in) >= feed.MinMembers {
+			out[zone] = byRoom(zone, in)[:feed.ReadersPerZone]
 		}
 	}
 	return out
@@ -169,7 +169,7 @@
 // those that the zone prefers. All its members have the same.
 func byRoom(zone string, members []membership.Member) []membership.Member {
 	preferred(members, zone)
-	slices.SortStableFunc(members, func(a, b membership.Member) int { return cmp.Compare(b.Room, a.Room) })
+	slices.SortStableFunc(members, func(a, b membership.Member) int { return cmp.Compare(b.Capacity, a.Capacity) })
 	return members
 }
 
@@ -177,10 +177,10 @@
 func gatherers(all []membership.Member) []membership.Member {
 	total, sum, n := 0.0, 0.0, 0
 	for _, m := range all {
-		total += float64(m.Room)
+		total += float64(m.Capacity)
 	}
 	for n < len(all) && (n < gatherersLeast || sum < gathererShare*total) {
-		sum += float64(all[n].Room)
+		sum += float64(all[n].Capacity)
 		n++
 	}
 	return all[:n]
@@ -194,7 +194,7 @@
 	for _, m := range members {
 		// A hash in (0, 1], of which the logarithm is taken.
 		hash := (float64(xxhash.Sum64String(drawer+"/"+m.Name)) + 1) / math.Exp2(64)
-		weights[m.Name] = -float64(max(m.Room, 1)) / math.Log(math.Min(hash, 1-1e-12))
+		weights[m.Name] = -float64(max(m.Capacity, 1)) / math.Log(math.Min(hash, 1-1e-12))
 	}
 	slices.SortFunc(members, func(a, b membership.Member) int { return cmp.Compare(weights[b.Name], weights[a.Name]) })
 }
--- a/pkg/peers/roles_test.go
+++ b/pkg/peers/roles_test.go
@@ -17,7 +17,7 @@
 	for _, n := range []int{8, 60, 195} {
 		var all []membership.Member
 		for i := range n {
-			all = append(all, membership.Member{Name: fmt.Sprintf("instance-%d", i), Zone: fmt.Sprint("zone-", i%3), Room: uint32(19 + i%2*60)})
+			all = append(all, membership.Member{Name: fmt.Sprintf("instance-%d", i), Zone: fmt.Sprint("zone-", i%3), Capacity: uint32(19 + i%2*60)})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
@@ -45,7 +45,7 @@
 		case 0:
 			m.Status = []membership.Status{membership.Alive, membership.Suspect, membership.Dead}[rng.IntN(3)]
 		case 1:
-			m.Room = uint32(10 + 10*rng.IntN(4))
+			m.Capacity = uint32(10 + 10*rng.IntN(4))
 		case 2:
 			m.Addr = fmt.Sprint("10.0.0.", rng.IntN(3))
 		case 3:
--- a/pkg/peers/warm_test.go
+++ b/pkg/peers/warm_test.go
@@ -59,7 +59,7 @@
 		if i < 2*zones {
 			room = 80
 		}
-		m := membership.Member{Name: fmt.Sprint("m", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), Zone: fmt.Sprint("z", i%zones), Room: room}
+		m := membership.Member{Name: fmt.Sprint("m", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), Zone: fmt.Sprint("z", i%zones), Capacity: room}
 		s.index[m.Addr] = i
 		s.nodes = append(s.nodes, &warmNode{self: m})
 	}
@@ -75,7 +75,7 @@
 func (s *warmSim) boot(i int) {
 	n := s.nodes[i]
 	seeds := []string{s.nodes[0].self.Addr, s.nodes[min(1, len(s.nodes)-1)].self.Addr}
-	n.state = membership.New(n.self, seeds, membership.Defaults(), rand.New(rand.NewPCG(uint64(i), s.rng.Uint64())), s.now())
+	n.state = membership.New(n.self, seeds, membership.DefaultOptions(), rand.New(rand.NewPCG(uint64(i), s.rng.Uint64())), s.now())
 	n.warming = warming{zones: slices.Sorted(maps.Keys(s.zones())), expectsPeers: len(s.nodes) > 1}
 	n.table = replica.NewTable(replica.Options{Zone: n.self.Zone, ConnsPerLeaf: 100, Instances: 1, Ties: func() float64 { return 0 }})
 	n.table.SetShards(map[string]bool{"queries": true})
