--- a/pkg/replica/budget.go
+++ b/pkg/replica/budget.go
@@ -5,171 +5,177 @@
 	"time"
 )
 
-// BudgetOptions bound the second requests to one service.
+// BudgetOptions configures the limit on second requests to one service.
 type BudgetOptions struct {
-	// Ratio is how many second requests there may be for each request, as
-	// published for all instances together.
+	// Ratio is the maximum number of second requests per request. The published ratio applies to
+	// all instances together.
 	Ratio float64
-	// Window is the span over which the ratio holds.
+	// Window is the period over which the ratio must hold.
 	Window time.Duration
-	// Burst is how many second requests this instance may send beyond the
-	// ratio in any window.
+	// Burst is the number of second requests that this instance may send in excess of the ratio
+	// in any window.
 	Burst float64
 }
 
-// ratioPart is the part of the published ratio that is used. The rest covers
-// requests that another instance was counted for when a client moved.
-const ratioPart = 0.95
+// usedRatioFraction is the fraction of the published ratio that an instance uses. The rest is
+// headroom for requests that were counted at another instance because their client moved from
+// one instance to another.
+const usedRatioFraction = 0.95
 
-// budgetBuckets is how many parts the window is counted in.
+// budgetBuckets is the number of buckets that the window is divided into for counting.
 const budgetBuckets = 10
 
-// Budget bounds the second requests (hedges and repeats alike) to one service.
-// It is safe for concurrent use.
+// Budget limits the second requests (hedges and retries alike) to one service. It is safe for
+// concurrent use.
 //
-// The published bound is on the sum over all instances, which do not talk to
-// each other. Each instance keeps the same ratio of its own requests, so the
-// sum keeps it however traffic is spread; only Burst adds up over instances.
-// Without the bound, a slow shard gets twice its load from all instances just
-// when it can least take it.
+// The published limit applies to the sum over all instances, which do not coordinate. Each
+// instance keeps the ratio for its own requests, so the sum keeps it however the traffic is
+// distributed; only Burst adds up over the instances. Without the limit, a slow shard would
+// receive twice its load from all instances exactly when it can least handle it.
 type Budget struct {
-	mu      sync.Mutex
-	opts    BudgetOptions
-	width   time.Duration
-	first   [budgetBuckets + 1]int
-	second  [budgetBuckets + 1]int
-	current int64
-	// started is the first count. Buckets are counted from it by the steady
-	// clock, which no change of the time of day moves.
-	started time.Time
-}
-
-// BurstLimits are how many second requests this instance may send to a service beyond the
-// ratio in any window: to a shard of queries, and to a service that is asked alone.
+	mu          sync.Mutex
+	opts        BudgetOptions
+	bucketWidth time.Duration
+	// requests and secondRequests are ring buffers of counts per bucket, with one bucket more
+	// than the window has. currentBucket is the number of the newest bucket since startedAt.
+	requests       [budgetBuckets + 1]int
+	secondRequests [budgetBuckets + 1]int
+	currentBucket  int64
+	// startedAt is the time of the first count. Buckets are numbered from it by the monotonic
+	// clock, so that changes of the wall clock do not move them.
+	startedAt time.Time
+}
+
+// BurstLimits holds the number of second requests that this instance may send to a service in
+// excess of the ratio in any window: Shard for a shard of gather queries, Single for any other
+// service.
 type BurstLimits struct{ Shard, Single float64 }
 
-// NewBudget returns a budget with nothing counted.
+// NewBudget returns a budget with all counts at zero.
 func NewBudget(opts BudgetOptions) *Budget {
-	return &Budget{opts: opts, width: opts.Window / budgetBuckets}
+	return &Budget{opts: opts, bucketWidth: opts.Window / budgetBuckets}
 }
 
-// SetOptions puts other bounds in force; what was counted stays.
+// SetOptions replaces the limits and keeps the counts.
 func (b *Budget) SetOptions(opts BudgetOptions) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.opts = opts
 }
 
-// advance clears the buckets that fell out of the window.
+// advance clears the buckets that have left the window and returns the index of the current
+// bucket.
 func (b *Budget) advance(now time.Time) int {
-	if b.started.IsZero() {
-		b.started = now
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	at := int64(now.Sub(b.started) / b.width)
-	n := int64(len(b.first))
-	for i := max(b.current+1, at-n+1); i <= at; i++ {
-		b.first[i%n] = 0
-		b.second[i%n] = 0
+	bucket := int64(now.Sub(b.startedAt) / b.bucketWidth)
+	n := int64(len(b.requests))
+	for i := max(b.currentBucket+1, bucket-n+1); i <= bucket; i++ {
+		b.requests[i%n] = 0
+		b.secondRequests[i%n] = 0
 	}
-	b.current = max(b.current, at)
-	return int(b.current % n)
+	b.currentBucket = max(b.currentBucket, bucket)
+	return int(b.currentBucket % n)
 }
 
-// CountRequest counts one request for the service, sent or not.
+// CountRequest counts one request to the service, whether or not it is sent.
 func (b *Budget) CountRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.first[b.advance(now)]++
+	b.requests[b.advance(now)]++
 }
 
-// TryTake counts one second request if the budget has room for it.
+// TryTake counts one second request and returns true if the budget allows it.
 func (b *Budget) TryTake(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := b.advance(now)
-	if b.room(i) < 1 {
+	if b.remaining(i) < 1 {
 		return false
 	}
-	b.second[i]++
+	b.secondRequests[i]++
 	return true
 }
 
-// Available reports whether the budget has room for a second request.
+// Available reports whether the budget allows a second request.
 func (b *Budget) Available(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.room(b.advance(now)) >= 1
+	return b.remaining(b.advance(now)) >= 1
 }
 
-// room is how many second requests there is room for. Repeats are summed over
-// one bucket more than the window, so that no alignment of the window exceeds
-// the bound; requests over the window only.
-func (b *Budget) room(current int) float64 {
-	first, second := 0, 0
-	oldest := (current + 1) % len(b.first)
-	for i := range b.first {
-		second += b.second[i]
+// remaining returns the number of second requests that the budget still allows. Second requests
+// are summed over one bucket more than the window, so that no alignment of the window exceeds
+// the limit; requests are summed over the window only.
+func (b *Budget) remaining(current int) float64 {
+	requests, secondRequests := 0, 0
+	oldest := (current + 1) % len(b.requests)
+	for i := range b.requests {
+		secondRequests += b.secondRequests[i]
 		if i != oldest {
-			first += b.first[i]
+			requests += b.requests[i]
 		}
 	}
-	return ratioPart*b.opts.Ratio*float64(first) + b.opts.Burst - float64(second)
+	return usedRatioFraction*b.opts.Ratio*float64(requests) + b.opts.Burst - float64(secondRequests)
 }
 
-// SetBurstLimits puts this instance's part of what all may send beyond the ratio in force.
+// SetBurstLimits sets this instance's share of the second requests that all instances together
+// may send in excess of the ratio.
 func (t *Table) SetBurstLimits(b BurstLimits) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.bursts = b
-	t.setBudgets()
+	t.burstLimits = b
+	t.applyBudgetOptions()
 }
 
-// SetShards takes over which services are shards of queries, and of nothing else.
+// SetShards sets which services are used only as shards of gather queries.
 func (t *Table) SetShards(shards map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.shards = shards
-	t.setBudgets()
+	t.applyBudgetOptions()
 }
 
-// setBudgets puts the bounds of all services in force; mu is held.
-func (t *Table) setBudgets() {
+// applyBudgetOptions updates the limits of all services. The caller holds mu.
+func (t *Table) applyBudgetOptions() {
 	for name, s := range t.services {
 		s.budget.SetOptions(t.budgetOptions(name))
 	}
 }
 
-// budgetOptions are the bounds of a service; mu is held.
+// budgetOptions returns the limits of a service. The caller holds mu.
 func (t *Table) budgetOptions(serviceName string) BudgetOptions {
 	opts := t.opts.Budget
 	switch {
-	case t.bursts == BurstLimits{}:
+	case t.burstLimits == BurstLimits{}:
 	case t.shards[serviceName]:
-		opts.Burst = t.bursts.Shard
+		opts.Burst = t.burstLimits.Shard
 	default:
-		opts.Burst = t.bursts.Single
+		opts.Burst = t.burstLimits.Single
 	}
 	return opts
 }
 
-// CountRequest counts one request for the service's budget of second
-// requests, whether it is sent or not.
+// CountRequest counts one request towards the service's budget of second requests, whether or
+// not it is sent.
 func (t *Table) CountRequest(serviceName string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.service(serviceName)
 	s.budget.CountRequest(now)
-	s.pace(now)
+	s.recordRequest(now)
 }
 
-// HasSecondRequestBudget reports whether a second request would be within the service's budget.
+// HasSecondRequestBudget reports whether the service's budget allows a second request.
 func (t *Table) HasSecondRequestBudget(serviceName string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.service(serviceName).budget.Available(now)
 }
 
-// TakeSecondRequestBudget takes one second request out of the service's budget.
+// TakeSecondRequestBudget takes one second request out of the service's budget. It returns
+// false if the budget is exhausted.
 func (t *Table) TakeSecondRequestBudget(serviceName string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -2,124 +2,127 @@
 
 import "time"
 
-// Outcome is what became of a request to a leaf.
+// Outcome is the result of a request to a leaf.
 type Outcome int
 
 const (
-	// Answered: a whole, valid success.
+	// Answered means that the leaf returned a complete, valid success.
 	Answered Outcome = iota
-	// Failed: the leaf ran the request and reported a failure of its own.
+	// Failed means that the leaf ran the request and reported a failure of its own.
 	Failed
-	// Refused: the leaf says that it did not run the request.
+	// Refused means that the leaf reported that it did not run the request.
 	Refused
-	// Misdirected: another leaf has the address; not run.
+	// Misdirected means that another leaf uses the address. The request did not run.
 	Misdirected
-	// NotSent: no connection, or nothing was written; not run.
+	// NotSent means that no connection was available or nothing was written. The request did not
+	// run.
 	NotSent
-	// Broken: the connection ended, or what came was no valid answer; the
-	// request may have run.
+	// Broken means that the connection ended or the reply was invalid. The request may have run.
 	Broken
-	// TimedOut: no answer within the time the leaf was given; it may have
-	// run.
+	// TimedOut means that no reply arrived within the time given to the leaf. The request may
+	// have run.
 	TimedOut
-	// ConnLimitReached: a new connection ended before it brought a reply, as leafs end
-	// those beyond their limit; the request may have run.
+	// ConnLimitReached means that a new connection was closed before it delivered a reply, as
+	// leafs do with connections beyond their limit. The request may have run.
 	ConnLimitReached
-	// Abandoned: given up from this side; the leaf takes at least as long as
-	// was waited.
+	// Abandoned means that this instance cancelled the request. The leaf would have taken at
+	// least as long as this instance waited.
 	Abandoned
-	// PeerLost: the peer that the request went through did not return a reply; it
-	// may have run, and nothing is known of the leaf.
+	// PeerLost means that the peer instance that forwarded the request did not return a reply.
+	// The request may have run, and the outcome says nothing about the leaf.
 	PeerLost
-	// PeerRefused: the peer did not send the request; not run, and nothing is known
-	// of the leaf.
+	// PeerRefused means that the peer instance did not send the request. It did not run, and the
+	// outcome says nothing about the leaf.
 	PeerRefused
-	// ProcessExited: the leaf's process ended while it had the request, which may have run; a
-	// request may also be the cause.
+	// ProcessExited means that the leaf's process exited while it had the request. The request
+	// may have run, and it may have caused the exit.
 	ProcessExited
 )
 
-// String names the outcome in logs and metrics.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string {
 	return [...]string{"answered", "failed", "refused", "misdirected", "not_sent", "broken", "timed_out", "crowded", "abandoned", "peer_lost", "peer_refused", "ended"}[o]
 }
 
-// Valid reports whether the outcome is one of the above.
+// Valid reports whether o is one of the constants above.
 func (o Outcome) Valid() bool { return o >= Answered && o <= ProcessExited }
 
-// NotRun reports whether the outcome is certain proof that the request did
-// not run and will not.
+// NotRun reports whether the outcome proves that the request did not run and will not run.
 func (o Outcome) NotRun() bool {
 	return o == Refused || o.NotDelivered()
 }
 
-// NotDelivered reports whether the outcome proves that no leaf of the service got the request.
+// NotDelivered reports whether the outcome proves that no leaf of the service received the
+// request.
 func (o Outcome) NotDelivered() bool { return o == Misdirected || o == NotSent || o == PeerRefused }
 
 // Call is a request in flight at a leaf.
 type Call struct {
 	Leaf Leaf
-	// row is the leaf's when the call began; nil: it had left. A leaf that starts
-	// again has another one.
-	row   *row
-	class string
-	start time.Time
+	// record is the leaf's record at the start of the call, or nil if the leaf had been removed.
+	// A restarted leaf has a new record.
+	record *leafRecord
+	class  string
+	start  time.Time
 }
 
-// Class is the class of work that the request belongs to.
+// Class returns the name of the request's class.
 func (c *Call) Class() string { return c.class }
 
-// StartTime is when the request was sent.
+// StartTime returns the time at which the request was sent.
 func (c *Call) StartTime() time.Time { return c.start }
 
-// Begin counts a request as in flight at the placed leaf. It returns nil when
-// other requests have taken the last of the leaf's connections since it was
-// placed, its zone is evacuated, or it is cold
-// and has got what it may.
+// Begin counts a request as in flight at the leaf of the placement. It returns nil if the leaf
+// may not receive the request any more: since the placement, other requests have taken its last
+// connection, its zone has been evacuated, or it is cold and has received this instance's
+// share.
 func (t *Table) Begin(p Placement, className string, now time.Time) *Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.leafs[p.Leaf.ID]
 	if r != nil {
-		if t.evacuated[r.Zone] || t.full(r, now) || t.coldFull(r, now) {
+		if t.evacuated[r.Zone] || t.atConnLimit(r, now) || t.atColdLimit(r, now) {
 			return nil
 		}
-		t.noteCold(r, now)
+		t.recordColdSend(r, now)
 		r.begin(now)
 	}
-	return &Call{Leaf: p.Leaf, row: r, class: className, start: now}
+	return &Call{Leaf: p.Leaf, record: r, class: className, start: now}
 }
 
-// HealthChange says whether a call's outcome changed what is believed of its leaf.
+// HealthChange says whether the outcome of a call has marked its leaf as down or up.
 type HealthChange int
 
 const (
-	// HealthUnchanged: up or down as before.
+	// HealthUnchanged means that the leaf is up or down as before.
 	HealthUnchanged HealthChange = iota
-	// MarkedDown: the leaf is out of use until it is probed.
+	// MarkedDown means that the leaf is not used until a probe succeeds.
 	MarkedDown
-	// Recovered: a leaf that was down has answered.
+	// Recovered means that a leaf that was down has replied.
 	Recovered
 )
 
-// End takes over what became of a call.
+// End records the outcome of a call.
 func (t *Table) End(c *Call, outcome Outcome, now time.Time) HealthChange {
 	return t.EndWithLatency(c, outcome, now.Sub(c.start), now)
 }
 
-// EndWithLatency is End for a call whose leaf took less time than has passed since: a peer
-// that it went through has kept the reply for others.
-func (t *Table) EndWithLatency(c *Call, outcome Outcome, took time.Duration, now time.Time) HealthChange {
+// EndWithLatency is like End, but takes the latency of the leaf from the caller. The latency is
+// less than the time since the start of the call if a peer instance held the reply back to
+// return it together with others.
+func (t *Table) EndWithLatency(
+	c *Call, outcome Outcome, latency time.Duration, now time.Time,
+) HealthChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.leafs[c.Leaf.ID]
-	if r == nil || r != c.row {
+	if r == nil || r != c.record {
 		return HealthUnchanged
 	}
 	r.end(c.start)
-	wasUp := r.failures < downAfter
-	t.learn(r, c, outcome, took, now)
-	isUp := r.failures < downAfter
+	wasUp := r.connFailures < downThreshold
+	t.applyOutcome(r, c, outcome, latency, now)
+	isUp := r.connFailures < downThreshold
 	switch {
 	case wasUp && !isUp:
 		return MarkedDown
@@ -129,53 +132,56 @@
 	return HealthUnchanged
 }
 
-// learn updates what is known of r.
-func (t *Table) learn(r *row, c *Call, outcome Outcome, took time.Duration, now time.Time) {
+// applyOutcome updates the state of r with the outcome of a call.
+func (t *Table) applyOutcome(
+	r *leafRecord, c *Call, outcome Outcome, latency time.Duration, now time.Time,
+) {
 	switch outcome {
 	case Answered:
-		r.answered(now)
-		r.lateSince = time.Time{}
-		t.zoneReplied(r.Zone, now)
-		r.learnRefusal(false, now)
-		t.class(c.class).learn(took)
-		r.learnSlowness(float64(took)/float64(t.typical(c.class)), now)
+		r.recordReply(now)
+		r.timeoutFailuresSince = time.Time{}
+		t.recordZoneReply(r.Zone, now)
+		r.recordRefusal(false, now)
+		t.class(c.class).observe(latency)
+		r.recordSlowness(float64(latency)/float64(t.typicalLatency(c.class)), now)
 	case Failed, Refused:
-		r.learnLate(took, t.typical(c.class), now)
-		r.answered(now)
-		t.zoneReplied(r.Zone, now)
-		r.learnRefusal(true, now)
+		r.recordTimeoutFailure(latency, t.typicalLatency(c.class), now)
+		r.recordReply(now)
+		t.recordZoneReply(r.Zone, now)
+		r.recordRefusal(true, now)
 	case Misdirected:
-		r.failures = downAfter
-		r.downUntil = now.Add(downMost)
-		t.zoneReplied(r.Zone, now)
+		r.connFailures = downThreshold
+		r.nextProbeAt = now.Add(maxProbeBackoff)
+		t.recordZoneReply(r.Zone, now)
 	case NotSent:
-		r.unreached = true
-		r.fail(now)
+		r.connectFailed = true
+		r.recordConnFailure(now)
 	case Broken, ProcessExited:
-		r.unreached = false
-		r.learnRefusal(true, now)
-		r.fail(now)
+		r.connectFailed = false
+		r.recordRefusal(true, now)
+		r.recordConnFailure(now)
 	case ConnLimitReached:
-		r.unreached = false
-		r.learnRefusal(true, now)
-		r.learnCrowded(now)
+		r.connectFailed = false
+		r.recordRefusal(true, now)
+		r.recordConnLimitReached(now)
 	case TimedOut:
-		r.learnSlowness(float64(took)/float64(t.typical(c.class)), now)
+		r.recordSlowness(float64(latency)/float64(t.typicalLatency(c.class)), now)
 	case Abandoned:
-		t.learnAbandoned(r, c, took, now)
+		t.applyAbandoned(r, c, latency, now)
 	}
 }
 
-// learnAbandoned takes over how long a call was waited for that was given up.
+// applyAbandoned updates the slowness of r with a call that was cancelled after latency.
 //
-// A leaf whose calls another one always answers first, and which are then ended,
-// never shows how slow it is; one notices that each query asks it first and pays
-// for a second request until their budget is used up. The wait is the least that
-// a reply would have taken, so it counts only where it is more than is believed, and then in full.
-func (t *Table) learnAbandoned(r *row, c *Call, took time.Duration, now time.Time) {
-	r.givenUp = true
-	least := float64(took) / float64(t.typical(c.class))
-	if least > r.slownessNow(now) {
-		r.slowness, r.slownessAt = min(least, slownessCap), now
+// If another leaf always replies first and the call to this one is then cancelled, the slowness
+// of this leaf never shows in a reply: every query would choose it first and need a second
+// request, until the budget of second requests is exhausted. The time waited is a lower bound
+// on the latency of the reply, so it counts only if it exceeds the current estimate, and then
+// replaces it without smoothing.
+func (t *Table) applyAbandoned(r *leafRecord, c *Call, latency time.Duration, now time.Time) {
+	r.lastAbandoned = true
+	minSlowness := float64(latency) / float64(t.typicalLatency(c.class))
+	if minSlowness > r.slownessNow(now) {
+		r.slowness, r.slownessAt = min(minSlowness, maxSlowness), now
 	}
 }
--- a/pkg/replica/class.go
+++ b/pkg/replica/class.go
@@ -5,115 +5,116 @@
 	"time"
 )
 
-// How the typical time of a class of requests is learned.
+// Parameters of the estimate of a class's typical latency.
 const (
-	// typicalDefault stands in until the first reply.
-	typicalDefault = 20 * time.Millisecond
-	// typicalWarmup is how many first replies are kept whole.
-	typicalWarmup = 20
-	// typicalRank is the quantile that is learned.
-	typicalRank = 0.5
-	// typicalStep is the part by which a reply moves the estimate.
+	// defaultTypicalLatency is used until the first reply.
+	defaultTypicalLatency = 20 * time.Millisecond
+	// typicalWarmupReplies is the number of first replies whose latencies are kept to compute
+	// the quantile exactly.
+	typicalWarmupReplies = 20
+	// typicalQuantile is the quantile that is estimated.
+	typicalQuantile = 0.5
+	// typicalStep is the fraction of the estimate by which one reply moves it, before it is
+	// scaled by the quantile.
 	typicalStep = 0.0014
-	// typicalFar and typicalFarStep bring an estimate down that is far too
-	// high, as after a start in the middle of an overload: a reply in less
-	// than a third of it takes off a twentieth. Work at an idle leaf is spread by
-	// about a third, so that one reply in a thousand does so by chance.
-	typicalFar     = 3
-	typicalFarStep = 0.05
+	// typicalOutlierFactor and typicalOutlierStep quickly reduce an estimate that is far too
+	// high, as after a start in the middle of an overload: a reply that takes less than a third
+	// of the estimate reduces it by a twentieth. Latencies at an idle leaf vary by about a
+	// third, so that about one reply in a thousand is that fast by chance.
+	typicalOutlierFactor = 3
+	typicalOutlierStep   = 0.05
 )
 
-// class is one kind of work, whose replies take about equally long.
+// class is the state of one class of requests, whose replies take about equally long.
 //
-// Its typical time is what leafs are measured by. Were it a mean, an overload
-// of some seconds would become the normal case: nothing would be slow by it, and
-// second requests would come later and later. So it is a median that moves
-// slowly.
+// Its typical latency is the reference for the slowness of leafs. With a mean, an overload of a
+// few seconds would become the normal case: no leaf would count as slow, and hedges would be
+// sent later and later. The reference is therefore a slowly moving median.
 type class struct {
-	typical time.Duration
-	first   []time.Duration
-	// probedAt is when a request was last admitted as a probe, lookedAt when a
-	// request that waits for room last looked for it.
-	probedAt time.Time
-	lookedAt time.Time
-	holding  holding
+	// typicalLatency is the estimate; warmupLatencies holds the first latencies, sorted.
+	typicalLatency  time.Duration
+	warmupLatencies []time.Duration
+	// probedAt is the time at which a request was last admitted as a probe. capacityCheckedAt is
+	// the time at which a waiting request last checked for capacity.
+	probedAt          time.Time
+	capacityCheckedAt time.Time
+	waits             waitHistory
 }
 
-// learn takes over one reply time.
-func (c *class) learn(took time.Duration) {
-	if len(c.first) < typicalWarmup {
-		at, _ := slices.BinarySearch(c.first, took)
-		c.first = slices.Insert(c.first, at, took)
-		c.typical = c.first[int(typicalRank*float64(len(c.first)))]
+// observe updates the estimate with the latency of one reply.
+func (c *class) observe(latency time.Duration) {
+	if len(c.warmupLatencies) < typicalWarmupReplies {
+		index, _ := slices.BinarySearch(c.warmupLatencies, latency)
+		c.warmupLatencies = slices.Insert(c.warmupLatencies, index, latency)
+		c.typicalLatency = c.warmupLatencies[int(typicalQuantile*float64(len(c.warmupLatencies)))]
 		return
 	}
-	step := typicalStep * typicalRank
+	step := typicalStep * typicalQuantile
 	switch {
-	case took < c.typical/typicalFar:
-		step = -typicalFarStep
-	case took < c.typical:
-		step = -typicalStep * (1 - typicalRank)
+	case latency < c.typicalLatency/typicalOutlierFactor:
+		step = -typicalOutlierStep
+	case latency < c.typicalLatency:
+		step = -typicalStep * (1 - typicalQuantile)
 	}
-	c.typical += time.Duration(step * float64(c.typical))
+	c.typicalLatency += time.Duration(step * float64(c.typicalLatency))
 }
 
-// known reports whether any reply has been seen.
-func (c *class) known() bool { return c != nil && len(c.first) > 0 }
+// hasReplies reports whether the class has had any reply.
+func (c *class) hasReplies() bool { return c != nil && len(c.warmupLatencies) > 0 }
 
-// typical is the typical reply time of a class.
-func (t *Table) typical(className string) time.Duration {
-	if c := t.classes[className]; c.known() {
-		return max(c.typical, 1)
+// typicalLatency returns the typical latency of a class. The caller holds mu.
+func (t *Table) typicalLatency(className string) time.Duration {
+	if c := t.classes[className]; c.hasReplies() {
+		return max(c.typicalLatency, 1)
 	}
-	return typicalDefault
+	return defaultTypicalLatency
 }
 
-// TypicalLatency is the typical reply time of a class.
+// TypicalLatency returns the typical latency of a class.
 func (t *Table) TypicalLatency(className string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.typical(className)
+	return t.typicalLatency(className)
 }
 
-// probeEvery is how often a request of a class is admitted although the
-// estimates speak against it.
-const probeEvery = 400 * time.Millisecond
+// probeInterval is the minimum time between two requests of a class that are admitted as probes
+// although the estimates advise against it.
+const probeInterval = 400 * time.Millisecond
 
-// AdmitProbe reports whether a request of the class is to be admitted as a
-// probe.
+// AdmitProbe reports whether to admit a request of the class as a probe.
 //
-// Estimates are made of replies. If they say that every query would be late and
-// every query is therefore refused, no reply ever corrects them; one notices an
-// instance that refuses for good after an overload has passed. One query now
-// and then keeps them true.
+// The estimates are based on replies. If they predict that every query would be late, and every
+// query is refused for that reason, no reply ever corrects them: an instance would continue to
+// refuse requests after an overload has ended. One query per interval keeps the estimates
+// current.
 func (t *Table) AdmitProbe(className string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return once(&t.class(className).probedAt, probeEvery, now)
+	return allowEvery(&t.class(className).probedAt, probeInterval, now)
 }
 
-// once reports whether the last time is long enough ago, and takes now for it if so.
-func once(last *time.Time, every time.Duration, now time.Time) bool {
-	if now.Sub(*last) < every {
+// allowEvery reports whether at least interval has passed since last. If so, it sets last to
+// now.
+func allowEvery(last *time.Time, interval time.Duration, now time.Time) bool {
+	if now.Sub(*last) < interval {
 		return false
 	}
 	*last = now
 	return true
 }
 
-// lookEvery is how often requests of a class that wait for room look for it: a part of
-// a usual reply.
-const lookEvery = 5 * time.Millisecond
+// capacityCheckInterval is the minimum time between two checks for capacity by waiting requests
+// of a class. It is a fraction of a typical latency.
+const capacityCheckInterval = 5 * time.Millisecond
 
-// AllowCapacityCheck reports whether a request of the class that waits for room may look for it
-// now.
+// AllowCapacityCheck reports whether a waiting request of the class may check for capacity now.
 func (t *Table) AllowCapacityCheck(className string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return once(&t.class(className).lookedAt, lookEvery, now)
+	return allowEvery(&t.class(className).capacityCheckedAt, capacityCheckInterval, now)
 }
 
-// class returns the row of a class, made on first use.
+// class returns the state of a class and creates it on first use. The caller holds mu.
 func (t *Table) class(name string) *class {
 	c := t.classes[name]
 	if c == nil {
@@ -123,26 +124,25 @@
 	return c
 }
 
-// paceWeight is the weight of one gap between requests in the smoothed one: what
-// an instance is asked changes over about ten requests.
-const paceWeight = 0.1
+// requestGapWeight is the weight of one gap between requests in the moving average. The average
+// follows a change of the request rate within about ten requests.
+const requestGapWeight = 0.1
 
-// pace takes over the time of a request for the service. It decides for how long
-// what the leafs showed is believed.
+// recordRequest updates the average gap between requests to the service. The gap determines the
+// half-life of the slowness of the service's leafs.
 //
-// Were it believed for a fixed second, an instance that is asked once in two
-// seconds would have forgotten by each query which leafs are slow: it would ask
-// them first again and pay for second requests until their budget is used up. So
-// the time grows with the gap between requests, of a leaf with several services by
-// the one that is asked for most.
-func (s *service) pace(now time.Time) {
-	if !s.last.IsZero() {
-		s.every += time.Duration(paceWeight * float64(now.Sub(s.last)-s.every))
+// With a fixed half-life of one second, an instance that receives one query every two seconds
+// would have forgotten which leafs are slow before each query: it would choose them first again
+// and send second requests until the budget is exhausted. The half-life therefore grows with
+// the gap between requests. A leaf of several services uses the one with the smallest gap.
+func (s *service) recordRequest(now time.Time) {
+	if !s.lastRequestAt.IsZero() {
+		s.requestGap += time.Duration(requestGapWeight * float64(now.Sub(s.lastRequestAt)-s.requestGap))
 	}
-	s.last = now
+	s.lastRequestAt = now
 	for _, r := range s.leafs {
-		if r.busiest == nil || s.every < r.busiest.every {
-			r.busiest = s
+		if r.busiestService == nil || s.requestGap < r.busiestService.requestGap {
+			r.busiestService = s
 		}
 	}
 }
--- a/pkg/replica/cold.go
+++ b/pkg/replica/cold.go
@@ -7,85 +7,90 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ColdLimit bounds what a leaf of a service gets while it is cold.
+// ColdLimit limits the requests to each leaf of a service while the leaf is cold.
 type ColdLimit struct {
-	// PerSecond is how many requests it may get in any second from all instances together;
-	// zero: there is no bound.
+	// PerSecond is the maximum number of requests in any second from all instances together.
+	// Zero means no limit.
 	PerSecond float64
 	// Duration is how long a leaf of the service is cold after its start.
 	Duration time.Duration
 }
 
-// WarmUpAssignment are the instances that may send requests to cold leafs, as one of them sees it. The
-// zero value lets this instance send none.
+// WarmUpAssignment says which instances may send requests to cold leafs, from the point of view
+// of one instance. The zero value allows this instance none.
 //
-// Nobody counts the requests of all instances. So those that run the queries of a leaf's own
-// availability zone have equal parts of what it may get, and the others send it nothing; a zone
-// that is cut off from the others still agrees with itself.
+// No component counts the requests of all instances. The limit of a cold leaf is therefore
+// divided equally among the instances in its own availability zone that send this kind of
+// request, and other instances send it nothing. A zone that is partitioned from the others
+// still has a consistent assignment.
 type WarmUpAssignment struct {
-	// Self is this instance's name, and Zone its availability zone.
+	// Self is the name of this instance, and Zone is its availability zone.
 	Self, Zone string
-	// OwnZone warm the leafs of Zone, Rest those of zones that have no instance in use.
+	// OwnZone are the instances that warm up the leafs of Zone. ZonesWithoutInstances are those
+	// that warm up the leafs of zones without a usable instance.
 	OwnZone, ZonesWithoutInstances WarmUpGroup
-	// PresentZones are the zones that have instances in use.
+	// PresentZones are the zones that have usable instances.
 	PresentZones map[string]bool
-	// IsolatedInstances is how many instances there are that know nothing of each other, this one among them;
-	// zero: they do.
+	// IsolatedInstances is the number of instances, including this one, if they do not know of
+	// each other. Zero means that they do, and that the fields above apply.
 	IsolatedInstances int
 }
 
-// WarmUpGroup names the instances that warm the same leafs.
+// WarmUpGroup lists the instances that share the warm-up of the same leafs.
 type WarmUpGroup struct {
-	// Queries are those that run queries, Single those that send requests to one leaf.
+	// Queries are the instances that run gather queries. Single are the instances that send
+	// requests to a single leaf.
 	Queries, Single []string
 }
 
 const (
-	// coldWindow is the span in which requests to a cold leaf are counted. It is longer than
-	// the second that the bound is for: requests wait for connections, some longer than others.
+	// coldWindow is the period over which requests to a cold leaf are counted. It is longer than
+	// the second that the limit applies to, because requests wait for connections, some of them
+	// longer than others.
 	coldWindow = 1250 * time.Millisecond
-	// coldPart bounds the part of the limit that is divided.
-	coldPart = 0.65
-	// coldPartsLeast is into how many parts it is divided at least: an instance that has just
-	// started and is cut off from its zone takes itself for the only one.
-	coldPartsLeast = 3
+	// coldLimitFraction is the maximum fraction of the limit that is divided among instances.
+	coldLimitFraction = 0.65
+	// minColdLimitParts is the minimum number of parts that the limit is divided into. An
+	// instance that has just started and is partitioned from its zone would otherwise take the
+	// whole limit, because it knows of no other instance.
+	minColdLimitParts = 3
 )
 
-// Share is how many requests this instance may send to a cold leaf in a second, of limit that all
-// may send.
+// Share returns the number of requests per second that this instance may send to a cold leaf if
+// all instances together may send limit.
 //
-// The instances may disagree for a while on who warms a leaf. One more than those drawn keeps the
-// sum within the limit. Where there are more instances than requests, some are drawn for each
-// leaf to send one.
+// Instances may temporarily disagree on who warms up a leaf. Dividing the limit into one part
+// more than there are instances keeps the sum within the limit. If there are more instances
+// than requests, a hash chooses the instances for each leaf that send one request.
 func (w *WarmUpAssignment) Share(leafID, zone string, shard bool, limit float64) int {
 	if w.IsolatedInstances > 0 {
-		return int(coldPart * limit / float64(w.IsolatedInstances))
+		return int(coldLimitFraction * limit / float64(w.IsolatedInstances))
 	}
-	names := w.drawn(zone, shard)
+	names := w.instancesFor(zone, shard)
 	n := len(names)
 	if !slices.Contains(names, w.Self) {
 		return 0
 	}
-	parts := max(n+1, coldPartsLeast)
-	total := int(limit * min(float64(n)/float64(parts), coldPart))
+	parts := max(n+1, minColdLimitParts)
+	total := int(limit * min(float64(n)/float64(parts), coldLimitFraction))
 	if total >= n {
 		return total / n
 	}
-	mine := xxhash.Sum64String(leafID + "/" + w.Self)
-	before := 0
+	ownHash := xxhash.Sum64String(leafID + "/" + w.Self)
+	rank := 0
 	for _, name := range names {
-		if name != w.Self && xxhash.Sum64String(leafID+"/"+name) < mine {
-			before++
+		if name != w.Self && xxhash.Sum64String(leafID+"/"+name) < ownHash {
+			rank++
 		}
 	}
-	if before < total {
+	if rank < total {
 		return 1
 	}
 	return 0
 }
 
-// drawn are the instances that warm the leafs of a zone.
-func (w *WarmUpAssignment) drawn(zone string, shard bool) []string {
+// instancesFor returns the instances that warm up the leafs of a zone.
+func (w *WarmUpAssignment) instancesFor(zone string, shard bool) []string {
 	group := WarmUpGroup{}
 	switch {
 	case zone == w.Zone:
@@ -99,22 +104,22 @@
 	return group.Single
 }
 
-// SetWarmUpAssignment takes over who may send requests to cold leafs.
+// SetWarmUpAssignment sets which instances may send requests to cold leafs.
 func (t *Table) SetWarmUpAssignment(w WarmUpAssignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.warmers = w
+	t.warmUp = w
 }
 
-// SetColdLimits takes over what cold leafs of each service may get.
+// SetColdLimits sets the limits for cold leafs of each service, by service name.
 func (t *Table) SetColdLimits(limits map[string]ColdLimit) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.coldLimits = limits
 }
 
-// coldLimit is what a leaf may get in a second while it is cold, and the service that says so;
-// zero: it has no bound. mu is held.
+// coldLimit returns the lowest limit that applies to a leaf while it is cold, and the service
+// that sets it. The service is empty if the leaf has no limit. The caller holds mu.
 func (t *Table) coldLimit(leaf *Leaf) (limit ColdLimit, service string) {
 	for _, name := range leaf.Services {
 		l := t.coldLimits[name]
@@ -125,9 +130,9 @@
 	return limit, service
 }
 
-// coldFull reports whether this instance may send no request to a leaf now because it is cold;
-// mu is held.
-func (t *Table) coldFull(r *row, now time.Time) bool {
+// atColdLimit reports whether this instance may not send requests to a leaf now because the
+// leaf is cold and has received this instance's share. The caller holds mu.
+func (t *Table) atColdLimit(r *leafRecord, now time.Time) bool {
 	if !now.Before(r.coldUntil) {
 		return false
 	}
@@ -135,24 +140,26 @@
 	if service == "" {
 		return false
 	}
-	return r.sentSince(now.Add(-coldWindow)) >= t.warmers.Share(r.ID, r.Zone, t.shards[service], limit.PerSecond)
+	return r.sentSince(now.Add(-coldWindow)) >=
+		t.warmUp.Share(r.ID, r.Zone, t.shards[service], limit.PerSecond)
 }
 
-// noteCold counts a request to a leaf that has a bound while it is cold. Those sent before it
-// turned cold count too. mu is held.
-func (t *Table) noteCold(r *row, now time.Time) {
+// recordColdSend records a request to a leaf that has a cold limit, also while the leaf is
+// warm: if it turns cold, the requests sent before count towards the limit. The caller holds
+// mu.
+func (t *Table) recordColdSend(r *leafRecord, now time.Time) {
 	if _, service := t.coldLimit(&r.Leaf); service == "" {
 		return
 	}
 	oldest := now.Add(-coldWindow)
-	r.sent = slices.DeleteFunc(r.sent, func(at time.Time) bool { return at.Before(oldest) })
-	r.sent = append(r.sent, now)
+	r.recentSends = slices.DeleteFunc(r.recentSends, func(at time.Time) bool { return at.Before(oldest) })
+	r.recentSends = append(r.recentSends, now)
 }
 
-// sentSince is how many of the counted requests were sent since a time.
-func (r *row) sentSince(oldest time.Time) int {
+// sentSince returns the number of recorded requests sent at or after oldest.
+func (r *leafRecord) sentSince(oldest time.Time) int {
 	n := 0
-	for _, at := range r.sent {
+	for _, at := range r.recentSends {
 		if !at.Before(oldest) {
 			n++
 		}
@@ -160,34 +167,34 @@
 	return n
 }
 
-// learnCold takes over how much longer the leaf says that it is cold.
-func (r *row) learnCold(cold time.Duration, now time.Time) {
+// setColdRemaining records how much longer the leaf reports to be cold.
+func (r *leafRecord) setColdRemaining(cold time.Duration, now time.Time) {
 	r.coldUntil = now.Add(cold)
-	r.coldAtLeastUntil(r.assumedCold)
+	r.extendColdUntil(r.assumedColdUntil)
 }
 
-// coldAtLeastUntil lets the leaf count as cold until a time, if it does not for longer.
-func (r *row) coldAtLeastUntil(at time.Time) {
-	if at.After(r.coldUntil) {
-		r.coldUntil = at
+// extendColdUntil makes the leaf count as cold at least until the given time.
+func (r *leafRecord) extendColdUntil(until time.Time) {
+	if until.After(r.coldUntil) {
+		r.coldUntil = until
 	}
 }
 
-// assumeCold lets the leafs of a zone that is taken back count as cold: they may have turned cold
-// meanwhile, and say so only later. mu is held.
-func (t *Table) assumeCold(zone string, now time.Time) {
+// assumeZoneCold makes the leafs of a readmitted zone count as cold. They may have turned cold
+// while the zone was evacuated, and may report it only later. The caller holds mu.
+func (t *Table) assumeZoneCold(zone string, now time.Time) {
 	for _, r := range t.leafs {
 		limit, service := t.coldLimit(&r.Leaf)
 		if r.Zone != zone || service == "" {
 			continue
 		}
-		r.assumedCold = now.Add(limit.Duration)
-		r.coldAtLeastUntil(r.assumedCold)
+		r.assumedColdUntil = now.Add(limit.Duration)
+		r.extendColdUntil(r.assumedColdUntil)
 	}
 }
 
-// IsColdLimited reports whether a leaf has a bound and is cold: then only those that it is drawn for may
-// send it requests.
+// IsColdLimited reports whether a leaf is cold and has a cold limit. Only the instances of its
+// warm-up group may send it requests then.
 func (t *Table) IsColdLimited(id string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/replica/cold_test.go
+++ b/pkg/replica/cold_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldTable is a table of one service whose cold leafs may get limit requests a second, with the
-// given leafs: the zone of each.
-func coldTable(w WarmUpAssignment, limit float64, zones ...string) *Table {
+// newColdTable returns a table with one service whose cold leafs may get limit requests per
+// second, and with one leaf in each of the given zones.
+func newColdTable(w WarmUpAssignment, limit float64, zones ...string) *Table {
 	t := NewTable(Options{Zone: "z1", ConnsPerLeaf: 100, Instances: 1, TieBreaker: func() float64 { return 0 }})
 	t.SetColdLimits(map[string]ColdLimit{"s": {PerSecond: limit, Duration: 3 * time.Second}})
 	t.SetWarmUpAssignment(w)
@@ -20,22 +20,23 @@
 	return t
 }
 
-// only lets this instance and some others warm the leafs of its zone.
-func only(others ...string) WarmUpAssignment {
+// warmUpWith assigns the warm-up of the leafs of this instance's zone to it and the others.
+func warmUpWith(others ...string) WarmUpAssignment {
 	all := append([]string{"me"}, others...)
 	return WarmUpAssignment{Self: "me", Zone: "z1", OwnZone: WarmUpGroup{Queries: all, Single: all}, PresentZones: map[string]bool{"z1": true}}
 }
 
-// turnCold lets a leaf say that it is cold for a time.
-func turnCold(t *Table, i int, cold time.Duration, now time.Time) {
+// reportCold publishes that a leaf will be cold for the given time.
+func reportCold(t *Table, i int, cold time.Duration, now time.Time) {
 	leaf, _ := t.Leaf(fmt.Sprint("leaf", i))
 	leaf.ColdRemaining = cold
 	leaf.Sequence++
 	t.Upsert(leaf, now)
 }
 
-// ask sends a request if one may be sent, which is answered at once.
-func ask(t *Table, now time.Time) (leaf string) {
+// trySend sends a request that is answered at once, and returns the ID of its leaf. It returns
+// "" if no request may be sent.
+func trySend(t *Table, now time.Time) (leaf string) {
 	p, v := t.Place("s", "c", nil, now)
 	if v != Placed {
 		return ""
@@ -48,33 +49,35 @@
 	return p.Leaf.ID
 }
 
-// askFor asks each 10 ms for a time and returns how many requests were sent in each second.
-func askFor(t *Table, from time.Time, d time.Duration) []int {
+// countSentPerSecond tries to send a request every 10 ms for d and returns the number of
+// requests sent in each second.
+func countSentPerSecond(t *Table, from time.Time, d time.Duration) []int {
 	out := make([]int, int(d/time.Second))
 	for at := time.Duration(0); at < d; at += 10 * time.Millisecond {
-		if ask(t, from.Add(at)) != "" {
+		if trySend(t, from.Add(at)) != "" {
 			out[at/time.Second]++
 		}
 	}
 	return out
 }
 
-// TestColdLeafGetsThisInstancesPart guards against a cold leaf that gets all that comes, one that
-// gets nothing, and one that gets no more when it is warm.
-func TestColdLeafGetsThisInstancesPart(t *testing.T) {
-	table := coldTable(only("other"), 14, "z1")
-	turnCold(table, 0, 3*time.Second, t0)
-	got := askFor(table, t0, 5*time.Second)
+// TestColdLeafGetsThisInstancesShare guards against a cold leaf that gets all requests or none,
+// and against a leaf that is still limited after it has become warm.
+func TestColdLeafGetsThisInstancesShare(t *testing.T) {
+	table := newColdTable(warmUpWith("other"), 14, "z1")
+	reportCold(table, 0, 3*time.Second, t0)
+	got := countSentPerSecond(table, t0, 5*time.Second)
 	for second := range 3 {
 		require.Positive(t, got[second])
 		require.LessOrEqual(t, got[second], 14/3)
 	}
-	require.Equal(t, 100, got[4], "warm again")
+	require.Equal(t, 100, got[4], "no limit once the leaf is warm")
 }
 
-// TestLeafThatTurnsColdIsNews guards against a belief that changes without a line in the log.
-func TestLeafThatTurnsColdIsNews(t *testing.T) {
-	table := coldTable(only(), 14, "z1")
+// TestTurningColdIsReportedAsChange guards against leafs turning cold without a line in the
+// log.
+func TestTurningColdIsReportedAsChange(t *testing.T) {
+	table := newColdTable(warmUpWith(), 14, "z1")
 	leaf, _ := table.Leaf("leaf0")
 	report := func(cold time.Duration, at time.Duration) Change {
 		leaf.ColdRemaining = cold
@@ -88,64 +91,67 @@
 	require.Equal(t, "turned_cold", TurnedCold.String())
 }
 
-// TestLeafThatTurnsColdCountsWhatItGotBefore guards against requests of one second that are
-// counted anew when the leaf says in the middle of it that it is cold.
-func TestLeafThatTurnsColdCountsWhatItGotBefore(t *testing.T) {
-	table := coldTable(only(), 14, "z1")
+// TestRequestsBeforeTurningColdCountAgainstLimit guards against exceeding the limit of one
+// second because counting starts again when the leaf reports in the middle of that second that
+// it is cold.
+func TestRequestsBeforeTurningColdCountAgainstLimit(t *testing.T) {
+	table := newColdTable(warmUpWith(), 14, "z1")
 	for range 10 {
-		ask(table, t0)
+		trySend(table, t0)
 	}
-	turnCold(table, 0, 3*time.Second, t0)
-	require.Empty(t, ask(table, t0.Add(time.Second)))
-	require.NotEmpty(t, ask(table, t0.Add(coldWindow+time.Millisecond)))
+	reportCold(table, 0, 3*time.Second, t0)
+	require.Empty(t, trySend(table, t0.Add(time.Second)))
+	require.NotEmpty(t, trySend(table, t0.Add(coldWindow+time.Millisecond)))
 }
 
-// TestOthersSendNothingToAColdLeaf guards against instances that are not drawn and send to a cold
-// leaf, or wait for it where another one is warm.
-func TestOthersSendNothingToAColdLeaf(t *testing.T) {
-	strangers := map[string]WarmUpAssignment{
-		"not drawn":    {Self: "me", Zone: "z1", OwnZone: WarmUpGroup{Queries: []string{"other"}, Single: []string{"other"}}},
-		"not settled":  {},
-		"another zone": {Self: "me", Zone: "z2", OwnZone: WarmUpGroup{Queries: []string{"me"}, Single: []string{"me"}}, PresentZones: map[string]bool{"z1": true}},
+// TestInstanceWithoutShareSendsNothingToColdLeaf guards against instances outside the warm-up
+// group that send requests to a cold leaf, or that wait for it although another leaf is warm.
+func TestInstanceWithoutShareSendsNothingToColdLeaf(t *testing.T) {
+	assignments := map[string]WarmUpAssignment{
+		"not in the warm-up group": {Self: "me", Zone: "z1", OwnZone: WarmUpGroup{Queries: []string{"other"}, Single: []string{"other"}}},
+		"no assignment yet":        {},
+		"another zone":             {Self: "me", Zone: "z2", OwnZone: WarmUpGroup{Queries: []string{"me"}, Single: []string{"me"}}, PresentZones: map[string]bool{"z1": true}},
 	}
-	for name, w := range strangers {
+	for name, w := range assignments {
 		t.Run(name, func(t *testing.T) {
-			table := coldTable(w, 14, "z1", "z3")
-			turnCold(table, 0, 3*time.Second, t0)
-			require.Equal(t, "leaf1", ask(table, t0), "the warm one serves")
-			turnCold(table, 1, 3*time.Second, t0)
-			require.Empty(t, ask(table, t0))
-			require.NotEmpty(t, ask(table, t0.Add(3*time.Second)))
+			table := newColdTable(w, 14, "z1", "z3")
+			reportCold(table, 0, 3*time.Second, t0)
+			require.Equal(t, "leaf1", trySend(table, t0), "the warm leaf gets the request")
+			reportCold(table, 1, 3*time.Second, t0)
+			require.Empty(t, trySend(table, t0))
+			require.NotEmpty(t, trySend(table, t0.Add(3*time.Second)))
 		})
 	}
 }
 
-// TestZoneWithoutInstancesIsWarmedByOthers guards against cold leafs that nobody may ask.
-func TestZoneWithoutInstancesIsWarmedByOthers(t *testing.T) {
-	w := only()
+// TestZoneWithoutInstancesIsWarmedUpByOthers guards against cold leafs that no instance may
+// send requests to.
+func TestZoneWithoutInstancesIsWarmedUpByOthers(t *testing.T) {
+	w := warmUpWith()
 	w.ZonesWithoutInstances = w.OwnZone
-	table := coldTable(w, 14, "z9")
-	turnCold(table, 0, 3*time.Second, t0)
-	require.NotEmpty(t, ask(table, t0))
+	table := newColdTable(w, 14, "z9")
+	reportCold(table, 0, 3*time.Second, t0)
+	require.NotEmpty(t, trySend(table, t0))
 }
 
-// TestUnboundedColdLeafsAreNotHeldBack guards against deployments that publish no bound and get
-// less from leafs that have just started.
-func TestUnboundedColdLeafsAreNotHeldBack(t *testing.T) {
-	table := coldTable(WarmUpAssignment{}, 0, "z1")
-	turnCold(table, 0, 3*time.Second, t0)
-	require.Equal(t, []int{100}, askFor(table, t0, time.Second))
+// TestColdLeafWithoutLimitGetsAllRequests guards against limiting leafs that have just started
+// in deployments that publish no limit.
+func TestColdLeafWithoutLimitGetsAllRequests(t *testing.T) {
+	table := newColdTable(WarmUpAssignment{}, 0, "z1")
+	reportCold(table, 0, 3*time.Second, t0)
+	require.Equal(t, []int{100}, countSentPerSecond(table, t0, time.Second))
 }
 
-// TestZoneThatIsTakenBackCountsAsCold guards against a rush to leafs that turned cold while their
-// zone was evacuated and have not said so yet, or said before that they are warm.
-func TestZoneThatIsTakenBackCountsAsCold(t *testing.T) {
-	table := coldTable(only(), 14, "z1")
+// TestReadmittedZoneIsAssumedCold guards against a burst of requests to leafs that turned cold
+// while their zone was evacuated. They may not have reported it yet, or their last report may
+// be from before they turned cold.
+func TestReadmittedZoneIsAssumedCold(t *testing.T) {
+	table := newColdTable(warmUpWith(), 14, "z1")
 	table.SetEvacuated("z1", true, t0)
-	require.Empty(t, ask(table, t0))
+	require.Empty(t, trySend(table, t0))
 	table.SetEvacuated("z1", false, t0)
-	turnCold(table, 0, 0, t0)
-	got := askFor(table, t0, 5*time.Second)
+	reportCold(table, 0, 0, t0)
+	got := countSentPerSecond(table, t0, 5*time.Second)
 	for second := range 3 {
 		require.Positive(t, got[second])
 		require.LessOrEqual(t, got[second], 14)
@@ -153,9 +159,9 @@
 	require.Equal(t, 100, got[4])
 }
 
-// TestMoreInstancesThanRequests guards against a sum of parts above the limit, or one of zero,
-// where more instances warm a leaf than it may get requests.
-func TestMoreInstancesThanRequests(t *testing.T) {
+// TestSumOfSharesStaysWithinColdLimit guards against shares whose sum exceeds the limit or is
+// zero, also if more instances warm up a leaf than it may get requests.
+func TestSumOfSharesStaysWithinColdLimit(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 11, 12, 40, 300} {
 		var names []string
 		for i := range n {
@@ -171,9 +177,9 @@
 	}
 }
 
-// TestColdLeafsAreWarmedAlone guards against instances that do not know each other and together
-// send more than a cold leaf bears.
-func TestColdLeafsAreWarmedAlone(t *testing.T) {
+// TestIsolatedInstancesDivideColdLimit guards against instances that do not know of each other
+// and together send more requests than a cold leaf can handle.
+func TestIsolatedInstancesDivideColdLimit(t *testing.T) {
 	w := WarmUpAssignment{IsolatedInstances: 4}
 	require.Equal(t, 2, w.Share("leaf", "z1", true, 14))
 }
--- a/pkg/replica/dump.go
+++ b/pkg/replica/dump.go
@@ -6,27 +6,33 @@
 	"time"
 )
 
-// LeafState is a leaf's row in the state dump.
+// LeafState is the state of one leaf in the state dump.
 type LeafState struct {
 	ID       string   `json:"id"`
 	Services []string `json:"services"`
 	Zone     string   `json:"zone"`
 	Addr     string   `json:"addr"`
 	Draining bool     `json:"draining"`
-	Lapsed   bool     `json:"lapsed"`
-	InFlight int      `json:"in_flight"`
-	Slowness float64  `json:"slowness"`
-	Refusals float64  `json:"refusals"`
-	Failures int      `json:"failures"`
-	SilentMs int64    `json:"silent_ms"`
-	// ColdMs is how much longer the leaf counts as cold.
+	// Lapsed means that the leaf vanished from the published list around an outage of the store
+	// and is still in use.
+	Lapsed   bool `json:"lapsed"`
+	InFlight int  `json:"in_flight"`
+	// Slowness is the smoothed ratio of the leaf's latency to the typical latency of the
+	// requests' classes. Refusals is the smoothed fraction of requests that the leaf refused or
+	// failed, and Failures the number of consecutive connection failures. SilentMs is how long
+	// the leaf has replied to nothing although a request of this instance waits for it.
+	Slowness float64 `json:"slowness"`
+	Refusals float64 `json:"refusals"`
+	Failures int     `json:"failures"`
+	SilentMs int64   `json:"silent_ms"`
+	// ColdMs is how much longer the leaf counts as cold, in milliseconds.
 	ColdMs int64 `json:"cold_ms,omitempty"`
-	// Load is what the leaf has said of itself, LoadAgeMs ago.
+	// Load is the load that the leaf last reported, LoadAgeMs milliseconds ago.
 	Load      string `json:"load,omitempty"`
 	LoadAgeMs int64  `json:"load_age_ms,omitempty"`
 }
 
-// Dump copies the rows, by service and ID.
+// Dump returns the state of all leafs, ordered by service and ID.
 func (t *Table) Dump(now time.Time) []LeafState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -34,8 +40,8 @@
 	for _, r := range t.leafs {
 		state := LeafState{
 			ID: r.ID, Services: r.Services, Zone: r.Zone, Addr: r.Addr, Draining: r.Draining, Lapsed: r.lapsed,
-			InFlight: len(r.starts), Slowness: r.slownessNow(now), Refusals: r.refusalsNow(now),
-			Failures: r.failures, SilentMs: r.silentFor(now).Milliseconds(),
+			InFlight: len(r.inFlightStarts), Slowness: r.slownessNow(now), Refusals: r.refusalRateNow(now),
+			Failures: r.connFailures, SilentMs: r.silentFor(now).Milliseconds(),
 			ColdMs: max(r.coldUntil.Sub(now), 0).Milliseconds(),
 		}
 		if !r.loadAt.IsZero() {
--- a/pkg/replica/evacuation.go
+++ b/pkg/replica/evacuation.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// SetEvacuated takes over whether the operator evacuates an availability zone: its leafs get no
-// new requests of any kind, whatever that costs. It reports whether that is news, and how many
-// requests are in flight there.
-func (t *Table) SetEvacuated(zone string, evacuated bool, now time.Time) (news bool, inFlight int) {
+// SetEvacuated sets whether the operator evacuates an availability zone. The leafs of an
+// evacuated zone get no new requests of any kind, regardless of the consequences. It reports
+// whether this changes anything, and how many requests are in flight in the zone.
+func (t *Table) SetEvacuated(zone string, evacuated bool, now time.Time) (changed bool, inFlight int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.evacuated[zone] == evacuated {
@@ -19,30 +19,30 @@
 		t.evacuated[zone] = true
 	} else {
 		delete(t.evacuated, zone)
-		t.assumeCold(zone, now)
+		t.assumeZoneCold(zone, now)
 	}
 	return true, t.inFlightIn(zone)
 }
 
-// InFlightIn is how many requests of this instance are in flight in a zone.
+// InFlightIn returns the number of requests of this instance that are in flight in a zone.
 func (t *Table) InFlightIn(zone string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.inFlightIn(zone)
 }
 
-// inFlightIn is InFlightIn; mu is held.
+// inFlightIn is InFlightIn for callers that hold mu.
 func (t *Table) inFlightIn(zone string) int {
 	n := 0
 	for _, r := range t.leafs {
 		if r.Zone == zone {
-			n += len(r.starts)
+			n += len(r.inFlightStarts)
 		}
 	}
 	return n
 }
 
-// EvacuatedZones lists the evacuated zones by name.
+// EvacuatedZones returns the evacuated zones in alphabetical order.
 func (t *Table) EvacuatedZones() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,5 +56,6 @@
 	return t.evacuated[zone]
 }
 
-// open reports whether a leaf may get new requests at all; mu is held.
-func (t *Table) open(r *row) bool { return !r.Draining && !t.evacuated[r.Zone] }
+// acceptsRequests reports whether a leaf may get new requests at all: it is neither draining
+// nor in an evacuated zone. The caller holds mu.
+func (t *Table) acceptsRequests(r *leafRecord) bool { return !r.Draining && !t.evacuated[r.Zone] }
--- a/pkg/replica/placement.go
+++ b/pkg/replica/placement.go
@@ -5,74 +5,82 @@
 	"time"
 )
 
-// How leafs are compared.
+// Parameters of the comparison of leafs.
 const (
-	// lapsedFactor holds back leafs that vanished from the list around an
-	// outage: of those, the ones that crashed meanwhile are gone.
-	lapsedFactor = 2
-	// givenUpFactor holds back leafs whose last request was given up, as long as no second
-	// request could make up for another one. A server that takes seconds shows only how long
-	// it was waited for; believed as slow as a warm one that was late now and then, it is
-	// asked again, and its shard is missing from the answer.
-	givenUpFactor = 100
-	// tieSpread spreads instances that see two equal leafs over both, as a
-	// part of the cost.
-	tieSpread = 0.1
-	// silentFactor and silentFloor say when a leaf that answers nothing is
-	// suspected: after that many times its usual time, and the floor. A
-	// paused leaf is suspected in the first part of its pause.
-	silentFactor = 3
-	silentFloor  = 15 * time.Millisecond
-	// suspectCost is added to a suspected leaf's cost: half of a usual pause.
-	suspectCost = 120 * time.Millisecond
-	// refusalsCap keeps the cost of a leaf that refuses everything finite.
-	refusalsCap = 0.95
+	// lapsedCostFactor multiplies the cost of leafs that vanished from the list around an outage
+	// of the store, because some of them have crashed in the meantime.
+	lapsedCostFactor = 2
+	// abandonedCostFactor multiplies the cost of a leaf whose last request was abandoned, while
+	// the budget does not allow a second request in case it is slow again. A leaf that takes
+	// seconds shows only how long callers waited for it. If it were estimated to be as slow as a
+	// warm leaf that is occasionally late, it would be chosen again, and its shard would be
+	// missing from the answer.
+	abandonedCostFactor = 100
+	// tieBreakSpread is the fraction of the cost by which costs are varied at random, so that
+	// instances distribute their requests over leafs that look equal.
+	tieBreakSpread = 0.1
+	// silenceFactor and minSilence determine when a leaf that does not reply becomes suspect:
+	// after silenceFactor times its usual latency plus minSilence. A paused leaf becomes suspect
+	// early in its pause.
+	silenceFactor = 3
+	minSilence    = 15 * time.Millisecond
+	// suspectPenalty is added to the expected latency of a suspect leaf: half of a usual pause.
+	suspectPenalty = 120 * time.Millisecond
+	// maxRefusalRate limits the refusal rate, so that the cost of a leaf that refuses everything
+	// stays finite.
+	maxRefusalRate = 0.95
 )
 
-// Verdict says whether a leaf was found.
+// Verdict says whether a leaf was found, and why not.
 type Verdict int
 
 const (
-	// Placed: a leaf was found.
+	// Placed means that a leaf was found.
 	Placed Verdict = iota
-	// NoLeaf: none is listed that takes new work.
+	// NoLeaf means that no listed leaf accepts new requests.
 	NoLeaf
-	// AllDown: those listed do not accept connections.
+	// AllDown means that the listed leafs do not accept connections.
 	AllDown
-	// AllBusy: this instance's connections to each are in use, or they are cold and get no more
-	// from it now.
+	// AllBusy means that this instance uses all its connections to each of the leafs, or that
+	// they are cold and have received this instance's share.
 	AllBusy
 )
 
-// String names the verdict in logs.
+// String returns the name of the verdict in logs.
 func (v Verdict) String() string {
 	return [...]string{"placed", "no_leaf", "all_down", "all_busy"}[v]
 }
 
-// Placement is a leaf chosen for a request.
+// Placement is the leaf chosen for a request.
 type Placement struct {
 	Leaf Leaf
-	// ExpectedLatency is how long a reply is expected to take.
+	// ExpectedLatency is the estimated time to the reply.
 	ExpectedLatency time.Duration
-	// RefusalRate is the share of requests that the leaf refuses or breaks.
+	// RefusalRate is the fraction of requests that the leaf refuses or fails.
 	RefusalRate float64
-	// Suspect: the leaf has been silent for longer than usual.
+	// Suspect means that the leaf has not replied for longer than usual.
 	Suspect bool
 }
 
-// Place returns the cheapest leaf of a service for a request of a class,
-// leaving out the leafs in tried.
-func (t *Table) Place(serviceName, className string, tried []string, now time.Time) (Placement, Verdict) {
+// Place returns the leaf of a service with the lowest cost for a request of a class, excluding
+// the leafs in tried.
+func (t *Table) Place(
+	serviceName, className string, tried []string, now time.Time,
+) (Placement, Verdict) {
 	return t.place(serviceName, className, now, func(id string) bool { return !slices.Contains(tried, id) })
 }
 
-// PlaceAmong is Place among the leafs in tried only.
-func (t *Table) PlaceAmong(serviceName, className string, tried []string, now time.Time) (Placement, Verdict) {
+// PlaceAmong is like Place, but considers only the leafs in tried.
+func (t *Table) PlaceAmong(
+	serviceName, className string, tried []string, now time.Time,
+) (Placement, Verdict) {
 	return t.place(serviceName, className, now, func(id string) bool { return slices.Contains(tried, id) })
 }
 
-// place returns the cheapest of the leafs that may be asked.
-func (t *Table) place(serviceName, className string, now time.Time, may func(id string) bool) (Placement, Verdict) {
+// place returns the eligible leaf with the lowest cost.
+func (t *Table) place(
+	serviceName, className string, now time.Time, eligible func(id string) bool,
+) (Placement, Verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	verdict := NoLeaf
@@ -80,20 +88,20 @@
 	bestCost := time.Duration(0)
 	s := t.service(serviceName)
 	for _, r := range s.leafs {
-		if !t.open(r) || !t.atHome(className, r.Zone) || !may(r.ID) {
+		if !t.acceptsRequests(r) || !t.zoneAllowed(className, r.Zone) || !eligible(r.ID) {
 			continue
 		}
 		if !t.reachable(r, now) {
-			verdict = worse(verdict, AllDown)
+			verdict = moreSpecificVerdict(verdict, AllDown)
 			continue
 		}
-		if t.full(r, now) || t.coldFull(r, now) {
-			verdict = worse(verdict, AllBusy)
+		if t.atConnLimit(r, now) || t.atColdLimit(r, now) {
+			verdict = moreSpecificVerdict(verdict, AllBusy)
 			continue
 		}
-		p, cost := t.price(r, className, now)
-		if r.givenUp && !s.budget.Available(now) {
-			cost *= givenUpFactor
+		p, cost := t.estimate(r, className, now)
+		if r.lastAbandoned && !s.budget.Available(now) {
+			cost *= abandonedCostFactor
 		}
 		if verdict != Placed || cost < bestCost {
 			verdict, best, bestCost = Placed, p, cost
@@ -102,75 +110,76 @@
 	return best, verdict
 }
 
-// worse keeps the verdict that says most of why there is no leaf.
-func worse(have, found Verdict) Verdict {
-	if have == NoLeaf || (have == AllDown && found == AllBusy) {
+// moreSpecificVerdict returns the verdict that says more about why there is no leaf.
+func moreSpecificVerdict(current, found Verdict) Verdict {
+	if current == NoLeaf || (current == AllDown && found == AllBusy) {
 		return found
 	}
-	return have
+	return current
 }
 
-// reachable reports whether a request may go to r: a leaf that failed is
-// probed by one request at a time once its wait is over, and a leaf of a
-// suspected zone waits for the zone's probe.
-func (t *Table) reachable(r *row, now time.Time) bool {
+// reachable reports whether a request may go to r. A leaf that is down is probed by one request
+// at a time once its backoff has passed, and a leaf of a suspected zone gets no requests until
+// the zone has been probed.
+func (t *Table) reachable(r *leafRecord, now time.Time) bool {
 	if z := t.zones[r.Zone]; z != nil && z.suspected {
 		return false
 	}
-	if r.failures < downAfter {
+	if r.connFailures < downThreshold {
 		return true
 	}
-	return !now.Before(r.downUntil) && len(r.starts) == 0
+	return !now.Before(r.nextProbeAt) && len(r.inFlightStarts) == 0
 }
 
-// price returns the expected time of a request on r and its cost, by which
-// leafs are compared.
-func (t *Table) price(r *row, className string, now time.Time) (Placement, time.Duration) {
-	base := float64(t.typical(className)) * r.slownessNow(now)
-	expected := time.Duration(base * float64(1+len(r.starts)))
+// estimate returns the placement of a request on r, and its cost, by which leafs are compared.
+func (t *Table) estimate(r *leafRecord, className string, now time.Time) (Placement, time.Duration) {
+	usualLatency := float64(t.typicalLatency(className)) * r.slownessNow(now)
+	expected := time.Duration(usualLatency * float64(1+len(r.inFlightStarts)))
 	p := Placement{Leaf: r.Leaf, ExpectedLatency: expected}
-	if r.silentTooLong(base, now) {
+	if r.silentTooLong(usualLatency, now) {
 		p.Suspect = true
-		p.ExpectedLatency += suspectCost
+		p.ExpectedLatency += suspectPenalty
 	}
-	p.RefusalRate = r.refusalsNow(now)
+	p.RefusalRate = r.refusalRateNow(now)
 	if t.opts.NearestFirst {
-		return p, t.distance(r)
+		return p, t.zoneDistance(r)
 	}
-	cost := float64(p.ExpectedLatency) / (1 - min(p.RefusalRate, refusalsCap))
+	cost := float64(p.ExpectedLatency) / (1 - min(p.RefusalRate, maxRefusalRate))
 	if r.Zone != t.opts.Zone {
 		cost = cost*max(t.opts.OtherZoneFactor, 1) + float64(t.opts.OtherZonePenalty)
 	}
 	if r.lapsed {
-		cost *= lapsedFactor
+		cost *= lapsedCostFactor
 	}
-	cost *= 1 + tieSpread*t.opts.tie()
+	cost *= 1 + tieBreakSpread*t.opts.drawTie()
 	return p, time.Duration(cost)
 }
 
-// distance orders leafs by zone only.
-func (t *Table) distance(r *row) time.Duration {
+// zoneDistance returns 0 for leafs of this instance's zone and 1 for others.
+func (t *Table) zoneDistance(r *leafRecord) time.Duration {
 	if r.Zone == t.opts.Zone {
 		return 0
 	}
 	return 1
 }
 
-// silentTooLong reports whether the leaf has answered nothing for so long that
-// it is suspected; base is its usual time in ns.
-func (r *row) silentTooLong(base float64, now time.Time) bool {
-	return r.silentFor(now) > silentFloor+time.Duration(silentFactor*base)
+// silentTooLong reports whether the leaf has not replied for so long that it is suspect.
+// usualLatency is in nanoseconds.
+func (r *leafRecord) silentTooLong(usualLatency float64, now time.Time) bool {
+	return r.silentFor(now) > minSilence+time.Duration(silenceFactor*usualLatency)
 }
 
-// IsSuspect reports whether the leaf of a call is silent for longer than usual.
+// IsSuspect reports whether the leaf of a call has not replied for longer than usual, or
+// whether its zone is suspected. It is also true if the leaf was removed or restarted after the
+// call began.
 func (t *Table) IsSuspect(c *Call, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.leafs[c.Leaf.ID]
-	if r == nil || r != c.row {
+	if r == nil || r != c.record {
 		return true
 	}
-	base := float64(t.typical(c.class)) * r.slownessNow(now)
+	usualLatency := float64(t.typicalLatency(c.class)) * r.slownessNow(now)
 	z := t.zones[r.Zone]
-	return r.silentTooLong(base, now) || (z != nil && z.suspected)
+	return r.silentTooLong(usualLatency, now) || (z != nil && z.suspected)
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -1,9 +1,8 @@
-// Package replica knows the leafs of every service and decides which one a
-// request goes to. It combines two sources that both mislead: the published
-// list, which lags and forgets leafs while the store is away, and this
-// instance's own requests, which see a leaf at once but only a part of its
-// load. Nothing here does I/O; time is an argument, so that recorded loads can
-// be replayed.
+// Package replica keeps track of the leafs of every service and chooses the leaf for each
+// request. It combines two sources, neither of which is sufficient: the published list is
+// delayed and loses leafs while the store is unavailable, and this instance's own requests show
+// changes of a leaf at once, but are only a part of the leaf's load. The package does no I/O,
+// and time is passed as an argument, so that recorded load can be replayed.
 package replica
 
 import (
@@ -12,148 +11,153 @@
 	"time"
 )
 
-// Leaf is a published leaf.
+// Leaf is a leaf as published.
 type Leaf struct {
-	// ID names the leaf. One that starts again may keep it: Born tells the
-	// incarnations apart.
+	// ID identifies the leaf. A restarted leaf may keep its ID; StartedAt then distinguishes the
+	// incarnations.
 	ID string
-	// StartedAt is when this incarnation started, by the leaf's own clock; zero: not
-	// published.
+	// StartedAt is the start time of this incarnation by the leaf's own clock. Zero means that
+	// it is not published.
 	StartedAt time.Time
-	// Services are what the leaf serves: one service on the users' platform,
-	// each shard that a backend server holds in an installation of the
-	// project's own.
+	// Services are the services of the leaf: a single service on the users' platform, or, in an
+	// installation of this project's own backend servers, every shard that the backend server
+	// holds.
 	Services []string
 	Addr     string
 	Zone     string
-	Slots    int
-	// MaxConns is how many connections this leaf accepts from all callers
-	// together; zero: what is published of its services applies.
+	// Slots is the number of requests that the leaf runs at the same time. Zero means that it is
+	// not published.
+	Slots int
+	// MaxConns is the maximum number of connections that this leaf accepts from all callers
+	// together. Zero means that the limit published for its services applies.
 	MaxConns int
-	// Draining leafs finish what they have and take nothing new.
+	// Draining means that the leaf finishes its current requests and takes no new ones.
 	Draining bool
-	// ColdRemaining is how much longer the leaf is slow after its start.
+	// ColdRemaining is how much longer the leaf will be slow after its start.
 	ColdRemaining time.Duration
-	// Sequence grows with every report of one incarnation.
+	// Sequence increases with every report of an incarnation.
 	Sequence int64
 }
 
-// Options are the figures that shape placement.
+// Options are the parameters of placement.
 type Options struct {
-	// Zone is this instance's own availability zone.
+	// Zone is the availability zone of this instance.
 	Zone string
-	// Regions are those of the availability zones.
+	// Regions maps availability zones to their regions.
 	Regions map[string]string
-	// LapseGrace is how long after the store's return a leaf that vanished
-	// from the list is still used.
+	// LapseGrace is how long leafs that vanished from the list stay in use after the store has
+	// returned from an outage.
 	LapseGrace time.Duration
-	// ConnsPerLeaf caps the connections to one leaf.
+	// ConnsPerLeaf is the maximum number of connections to one leaf.
 	ConnsPerLeaf int
-	// Instances is how many entry instances share a leaf's connections.
+	// Instances is the number of entry instances that share a leaf's connection limit.
 	Instances int
-	// ReservedConns of this instance's part of them are kept for messages
-	// that are no requests.
+	// ReservedConns is the number of connections per leaf that this instance sets aside, out of
+	// its limit, for messages other than requests.
 	ReservedConns int
-	// OtherZoneFactor (1 or more) multiplies, and OtherZonePenalty raises, the
-	// cost of a leaf in another zone than the instance's.
+	// OtherZoneFactor (at least 1) multiplies the cost of a leaf in another zone than this
+	// instance's. OtherZonePenalty is added to that cost.
 	OtherZoneFactor  float64
 	OtherZonePenalty time.Duration
-	// NearestFirst takes the first listed leaf of the own zone whatever its
-	// load. It is the baseline that placement by expected time is measured
-	// against.
+	// NearestFirst selects the first listed leaf of this instance's zone regardless of its load.
+	// It is the baseline against which placement by expected latency is measured.
 	NearestFirst bool
-	// Budget bounds second requests per service.
+	// Budget limits the second requests to each service.
 	Budget BudgetOptions
-	// TieBreaker draws numbers from 0 to 1 that decide between equal leafs; nil: at
-	// random. Replays set it, so that they repeat exactly.
+	// TieBreaker returns numbers from 0 to 1 that decide between leafs of equal cost. Nil means
+	// random numbers. Replays set it to be reproducible.
 	TieBreaker func() float64
 }
 
-// tie draws the next number.
-func (o *Options) tie() float64 {
+// drawTie returns the next number of the tie breaker.
+func (o *Options) drawTie() float64 {
 	if o.TieBreaker == nil {
 		return rand.Float64()
 	}
 	return o.TieBreaker()
 }
 
-// Table holds one row per leaf and one per service. It is safe for concurrent
-// use.
+// Table holds the state of all leafs, services, request classes and zones. It is safe for
+// concurrent use.
 type Table struct {
 	mu       sync.Mutex
 	opts     Options
-	leafs    map[string]*row
+	leafs    map[string]*leafRecord
 	services map[string]*service
 	classes  map[string]*class
 	zones    map[string]*zoneState
-	// evacuated are the zones whose leafs are to get nothing.
+	// evacuated are the zones whose leafs get no new requests.
 	evacuated map[string]bool
-	// sequences remembers the newest report of leafs that left, so that a
-	// delayed older report does not bring them back.
-	sequences map[string]departed
-	// lapseUntil is when leafs that vanished around a store outage count as
-	// gone.
-	lapseUntil time.Time
-	maxConns   map[string]int
-	// bursts are this instance's part of the second requests beyond the ratio; zero: as
-	// the options say. shards are the services that are shards of queries only.
-	bursts BurstLimits
-	shards map[string]bool
-	// homes are the regions whose leafs the requests of a class may go to; none: all.
-	homes map[string][]string
-	// coldLimits are what cold leafs of each service may get, and warmers say from whom.
+	// departed holds the newest report of each leaf that was removed recently, by ID, so that a
+	// delayed older report does not add the leaf again.
+	departed map[string]departedLeaf
+	// lapseGraceUntil is the time until which leafs that vanish from the list after a store
+	// outage are kept.
+	lapseGraceUntil time.Time
+	// maxConns are the published connection limits, by service name.
+	maxConns map[string]int
+	// burstLimits is this instance's share of the second requests in excess of the ratio. Zero
+	// means that opts.Budget.Burst applies. shards are the services that are used only as shards
+	// of gather queries.
+	burstLimits BurstLimits
+	shards      map[string]bool
+	// allowedRegions are the regions whose leafs may get the requests of a class. A class
+	// without regions may use all of them.
+	allowedRegions map[string][]string
+	// coldLimits are the limits for cold leafs of each service, and warmUp says which instances
+	// may use them.
 	coldLimits map[string]ColdLimit
-	warmers    WarmUpAssignment
+	warmUp     WarmUpAssignment
 }
 
-// departed is what is kept of a leaf that left the list.
-type departed struct {
-	born     time.Time
-	sequence int64
-	draining bool
-	at       time.Time
+// departedLeaf is the last report of a leaf that was removed from the table.
+type departedLeaf struct {
+	startedAt time.Time
+	sequence  int64
+	draining  bool
+	removedAt time.Time
 }
 
-// service is the row of one service.
+// service is the state of one service.
 type service struct {
-	leafs  []*row
+	leafs  []*leafRecord
 	budget *Budget
-	// every is the smoothed time between this instance's requests, and last
-	// the latest one.
-	every time.Duration
-	last  time.Time
+	// requestGap is the moving average of the time between requests of this instance to the
+	// service. lastRequestAt is the time of the latest one.
+	requestGap    time.Duration
+	lastRequestAt time.Time
 }
 
 // NewTable returns an empty table.
 func NewTable(opts Options) *Table {
 	return &Table{
 		opts:      opts,
-		leafs:     make(map[string]*row),
+		leafs:     make(map[string]*leafRecord),
 		services:  make(map[string]*service),
 		classes:   make(map[string]*class),
 		zones:     make(map[string]*zoneState),
 		evacuated: make(map[string]bool),
-		sequences: make(map[string]departed),
+		departed:  make(map[string]departedLeaf),
 		maxConns:  make(map[string]int),
 	}
 }
 
-// SetOptions puts other options in force.
+// SetOptions replaces the options.
 func (t *Table) SetOptions(opts Options) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.opts = opts
-	t.setBudgets()
+	t.applyBudgetOptions()
 }
 
-// SetMaxConns takes over the published connection limits of all services.
+// SetMaxConns sets the published connection limits, by service name.
 func (t *Table) SetMaxConns(limits map[string]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.maxConns = limits
 }
 
-// service returns the row of a service, made on first use.
+// service returns the state of a service and creates it on first use. The caller holds mu.
 func (t *Table) service(name string) *service {
 	s := t.services[name]
 	if s == nil {
@@ -163,39 +167,39 @@
 	return s
 }
 
-// connLimit is how many requests this instance may have at a leaf at once, each
-// on a connection of its own: as many as the leaf has slots, within this
-// instance's part of the published connection limit.
+// connLimit returns the maximum number of requests that this instance may have in flight at a
+// leaf, each on a connection of its own: the number of the leaf's slots, but not more than this
+// instance's share of the published connection limit.
 //
-// A leaf resets connections beyond its limit, which looks like a crashed leaf to
-// every instance. And the requests of all instances queue at a leaf that pauses.
+// A leaf resets connections beyond its limit, which every instance would take for a crash of
+// the leaf. Also, the requests of all instances queue at a leaf that pauses.
 func (t *Table) connLimit(leaf *Leaf) int {
 	limit := t.opts.ConnsPerLeaf
 	if leaf.Slots > 0 {
 		limit = min(limit, leaf.Slots)
 	}
-	if published := t.published(leaf); published > 0 {
+	if published := t.publishedConnLimit(leaf); published > 0 {
 		share := (published + t.opts.Instances - 1) / t.opts.Instances
 		limit = min(limit, share)
 	}
 	return max(limit-t.opts.ReservedConns, 1)
 }
 
-// full reports whether this instance has as many requests at a leaf as it may.
-func (t *Table) full(r *row, now time.Time) bool {
-	return len(r.starts) >= r.roomNow(t.connLimit(&r.Leaf), now)
+// atConnLimit reports whether this instance has as many requests in flight at a leaf as it may.
+func (t *Table) atConnLimit(r *leafRecord, now time.Time) bool {
+	return len(r.inFlightStarts) >= r.limitNow(t.connLimit(&r.Leaf), now)
 }
 
-// published is the connection limit published for a leaf, 0 for none.
-func (t *Table) published(leaf *Leaf) int {
+// publishedConnLimit returns the connection limit published for a leaf, or 0 if there is none.
+func (t *Table) publishedConnLimit(leaf *Leaf) int {
 	if leaf.MaxConns > 0 {
 		return leaf.MaxConns
 	}
-	least := 0
+	lowest := 0
 	for _, name := range leaf.Services {
-		if n := t.maxConns[name]; n > 0 && (least == 0 || n < least) {
-			least = n
+		if n := t.maxConns[name]; n > 0 && (lowest == 0 || n < lowest) {
+			lowest = n
 		}
 	}
-	return least
+	return lowest
 }
--- a/pkg/replica/zones.go
+++ b/pkg/replica/zones.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// How a zone that cannot be reached is noticed.
+// Parameters of the detection of unreachable zones.
 const (
-	// zoneSilentLeafs is how many leafs of a zone must be silent or refuse
-	// connections at once: pauses hit one leaf at a time.
-	zoneSilentLeafs = 3
-	// zoneSilence is how long the whole zone must have answered nothing.
-	zoneSilence = 150 * time.Millisecond
-	// zoneProbeEvery is how often one health check tries a suspected zone.
-	zoneProbeEvery = 300 * time.Millisecond
+	// minSilentLeafs is the number of leafs of a zone that must be silent or refuse connections
+	// at the same time. Pauses affect only one leaf at a time.
+	minSilentLeafs = 3
+	// zoneSilenceThreshold is how long no leaf of the zone must have replied.
+	zoneSilenceThreshold = 150 * time.Millisecond
+	// zoneProbeInterval is the time between health checks of a suspected zone.
+	zoneProbeInterval = 300 * time.Millisecond
 )
 
-// zoneState is what is known of a zone as a whole.
+// zoneState is the state of a zone as a whole.
 type zoneState struct {
+	// lastReply is the time of the last reply from any leaf of the zone, and probedAt that of
+	// the last probe of the zone, or of its suspicion.
 	lastReply time.Time
 	suspected bool
 	probedAt  time.Time
 }
 
-// zoneReplied records that a leaf of the zone answered.
-func (t *Table) zoneReplied(name string, now time.Time) {
+// recordZoneReply records that a leaf of the zone has replied. The caller holds mu.
+func (t *Table) recordZoneReply(name string, now time.Time) {
 	z := t.zones[name]
 	if z == nil {
 		z = &zoneState{}
@@ -34,29 +36,29 @@
 	z.suspected = false
 }
 
-// SuspectZones is the zone system: run each tick, it marks the zones whose
-// leafs all fell silent together and returns those newly marked.
+// SuspectZones marks the zones whose leafs have all become silent as suspected, and returns the
+// zones that it has newly marked. It is called on every tick.
 //
-// When a zone is cut off, its connections hang without an error. Each of its
-// leafs would be found silent one by one, each at the price of a request that
-// waits and of a second one; one notices the budgets for second requests used
-// up at once. Several leafs silent, or not to be connected to, with no reply from
-// their zone mean the zone. A connection that a leaf resets does not: leafs reset
-// those beyond their limit, and an instance that takes this for a cut zone leaves
-// out all others too and tells its callers to go elsewhere.
+// The connections to a partitioned zone hang without an error. If each of its leafs were
+// detected separately, each would cost a request that waits and a second request, and the
+// budgets of second requests would be exhausted at once. If several leafs are silent or cannot
+// be connected to, and no leaf of their zone replies, the whole zone is therefore suspected.
+// Connections that a leaf resets are no evidence: leafs reset connections beyond their limit.
+// An instance that took resets for a partition would exclude one zone after the other, and tell
+// its callers to use another instance.
 func (t *Table) SuspectZones(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	silent := make(map[string]int)
 	for _, r := range t.leafs {
-		if r.silentFor(now) > zoneSilence || (r.failures >= downAfter && r.unreached) {
+		if r.silentFor(now) > zoneSilenceThreshold || (r.connFailures >= downThreshold && r.connectFailed) {
 			silent[r.Zone]++
 		}
 	}
 	var marked []string
 	for name, n := range silent {
 		z := t.zones[name]
-		if z == nil || z.suspected || n < zoneSilentLeafs || now.Sub(z.lastReply) < zoneSilence {
+		if z == nil || z.suspected || n < minSilentLeafs || now.Sub(z.lastReply) < zoneSilenceThreshold {
 			continue
 		}
 		z.suspected = true
@@ -66,18 +68,18 @@
 	return marked
 }
 
-// ZoneProbes returns one leaf of each suspected zone whose probe is due. It is
-// checked instead of sending it callers' requests: a cut zone answers nothing,
-// so each such request would be lost or cost a second one.
+// ZoneProbes returns one leaf of each suspected zone whose probe is due. The leaf gets a health
+// check instead of callers' requests: a partitioned zone does not reply, so each request would
+// be lost or cost a second request.
 func (t *Table) ZoneProbes(now time.Time) []Leaf {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Leaf
 	for name, z := range t.zones {
-		if !z.suspected || t.evacuated[name] || now.Sub(z.probedAt) < zoneProbeEvery {
+		if !z.suspected || t.evacuated[name] || now.Sub(z.probedAt) < zoneProbeInterval {
 			continue
 		}
-		if leaf, ok := t.anyLeaf(name); ok {
+		if leaf, ok := t.pickProbeLeaf(name); ok {
 			z.probedAt = now
 			out = append(out, leaf)
 		}
@@ -85,25 +87,25 @@
 	return out
 }
 
-// anyLeaf draws a leaf of a zone that is not leaving: of those that were ever sent
-// a request one that is not down, if there is one.
+// pickProbeLeaf returns a random leaf of a zone that is not draining. It prefers leafs that
+// have been sent a request and are not down, then leafs that have been sent a request.
 //
-// The list may name leafs of services that nobody asks for, written by others, with
-// an address where nothing listens. A zone that is probed there stays suspected.
-func (t *Table) anyLeaf(zone string) (Leaf, bool) {
-	var up, down, unasked []Leaf
+// The list may contain entries of other writers, for services that get no requests, with an
+// address where nothing listens. If such a leaf were probed, its zone would remain suspected.
+func (t *Table) pickProbeLeaf(zone string) (Leaf, bool) {
+	var up, down, neverRequested []Leaf
 	for _, r := range t.leafs {
 		switch {
 		case r.Zone != zone || r.Draining:
-		case !r.asked:
-			unasked = append(unasked, r.Leaf)
-		case r.failures >= downAfter:
+		case !r.everRequested:
+			neverRequested = append(neverRequested, r.Leaf)
+		case r.connFailures >= downThreshold:
 			down = append(down, r.Leaf)
 		default:
 			up = append(up, r.Leaf)
 		}
 	}
-	for _, leafs := range [][]Leaf{up, down, unasked} {
+	for _, leafs := range [][]Leaf{up, down, neverRequested} {
 		if len(leafs) > 0 {
 			return leafs[rand.IntN(len(leafs))], true
 		}
@@ -111,18 +113,18 @@
 	return Leaf{}, false
 }
 
-// RecordZoneReply takes over that a probe of a zone was answered. It reports
-// whether the zone was suspected.
+// RecordZoneReply records that a probe of a zone was answered. It reports whether the zone was
+// suspected.
 func (t *Table) RecordZoneReply(zone string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	z := t.zones[zone]
-	was := z != nil && z.suspected
-	t.zoneReplied(zone, now)
-	return was
+	wasSuspected := z != nil && z.suspected
+	t.recordZoneReply(zone, now)
+	return wasSuspected
 }
 
-// HasSuspectedZone reports whether some zone is suspected.
+// HasSuspectedZone reports whether any zone is suspected.
 func (t *Table) HasSuspectedZone() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,25 +136,25 @@
 	return false
 }
 
-// CountServable is how many of the services have a leaf that may get requests, and reachable how many
-// have one outside the suspected zones.
+// CountServable returns how many of the services have a leaf that accepts requests, and how
+// many have one outside the suspected zones.
 func (t *Table) CountServable(services []string) (servable, reachable int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range services {
-		any, here := false, false
+		any, hasReachableLeaf := false, false
 		for _, r := range t.service(name).leafs {
-			if !t.open(r) {
+			if !t.acceptsRequests(r) {
 				continue
 			}
 			any = true
 			z := t.zones[r.Zone]
-			here = here || z == nil || !z.suspected
+			hasReachableLeaf = hasReachableLeaf || z == nil || !z.suspected
 		}
 		if any {
 			servable++
 		}
-		if here {
+		if hasReachableLeaf {
 			reachable++
 		}
 	}
