--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing holds the published configuration as the gateway uses it:
-// which route a request takes, which services it may go to, and the limits
-// that bound a caller. A Config is immutable; a new version replaces it whole.
-// Nothing here does I/O or reads a clock.
+// Package routing holds the published configuration in the form that the gateway uses: the
+// route of each request, the services that the route may use, and the limits on callers'
+// requests. A Config is immutable and is replaced as a whole by a new version. The package does
+// no I/O and reads no clock.
 package routing
 
 import (
@@ -9,80 +9,87 @@
 	"time"
 )
 
-// Kind says how often a request may run on a leaf.
+// Kind says how often the requests of a route may run on a leaf, and whether they go to a
+// single service or to all shards.
 type Kind int
 
 const (
-	// AtMostOnce requests run on no leaf twice: only a certain "not run"
-	// lets them be sent again.
+	// AtMostOnce requests must not run more than once. They are sent again only if it is certain
+	// that they did not run.
 	AtMostOnce Kind = iota
 	// Repeatable requests may run any number of times.
 	Repeatable
-	// Gather requests go to one leaf of every shard and are merged; they
-	// are repeatable.
+	// Gather requests go to one leaf of every shard, and the replies are merged. They are
+	// repeatable.
 	Gather
 )
 
-// String names the kind in logs and metric labels.
+// String returns the name of the kind in logs and metric labels.
 func (k Kind) String() string {
 	return [...]string{"at_most_once", "repeatable", "gather"}[k]
 }
 
-// Route is one entry of the routing table.
+// Route is an entry of the routing table.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Targets are the services that share the route's requests by weight; a
-	// route with a single service has one target.
+	// Targets are the services among which the route's requests are distributed by weight. A
+	// route to a single service has one target.
 	Targets []Target
 	// Shards are the services of a gather route, one per shard.
 	Shards []string
-	// TopK is how many records a gathered answer holds at most.
+	// TopK is the maximum number of records in a gathered answer.
 	TopK int
-	// MinShardShare is the least share (0 to 1) of the shards that an answer
-	// must cover to be a success.
+	// MinShardShare is the fraction of the shards (0 to 1) that an answer must cover to be a
+	// success.
 	MinShardShare float64
-	// Timeout is the longest that the operator lets a request wait; zero:
-	// no bound beyond the caller's deadline.
+	// Timeout is the maximum time that the operator allows for a request. Zero means that only
+	// the caller's deadline applies.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is worth its full
-	// value to callers; zero: none published.
+	// TargetLatency is the time within which an answer has its full value for callers. Zero
+	// means that none is published.
 	TargetLatency time.Duration
-	// MaxAttempts is how many leafs one request may be sent to (for a gather
-	// route: per shard).
+	// MaxAttempts is the maximum number of leafs that a request may be sent to. For a gather
+	// route, it applies to each shard.
 	MaxAttempts int
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
-	// AllowedRegions are the regions whose leafs may be asked; none: all.
+	// AllowedRegions are the regions whose leafs may get the route's requests. An empty list
+	// allows all regions.
 	AllowedRegions []string
 }
 
-// Target is one service of a route and its share of the requests.
+// Target is a service of a route and its share of the requests.
 type Target struct {
 	Service string
-	Weight  float64
+	// Weight is relative to the other targets of the route. Targets without a positive weight
+	// get no requests unless they are the only target.
+	Weight float64
 }
 
-// Service is what the configuration says of a service or shard.
+// Service is the configuration of a service or shard.
 type Service struct {
 	Name string
-	// MaxConns is how many connections each of its leafs accepts from all
-	// callers together; zero: not published.
+	// MaxConns is the maximum number of connections that each leaf of the service accepts from
+	// all callers together. Zero means that it is not published.
 	MaxConns int
-	// ColdDuration is how long a leaf is cold after its start, and ColdPerSecond how many requests a
-	// second it bears meanwhile; zero: that is not bounded.
+	// ColdDuration is how long a leaf is cold after its start. ColdRequestsPerSecond is the
+	// maximum rate of requests to a cold leaf. Zero means no limit.
 	ColdDuration          time.Duration
 	ColdRequestsPerSecond float64
-	// HealthPath answers whether a leaf is well.
+	// HealthPath is the path of the health check of a leaf.
 	HealthPath string
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on the size and the duration of callers' requests.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int
+	// HeaderBytes and BodyBytes are the maximum sizes of the header and the body of a request.
+	HeaderBytes int
+	BodyBytes   int
+	// HeaderTimeout is the maximum time to receive the header of a request. IdleTimeout is how
+	// long an idle connection stays open.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -92,11 +99,13 @@
 	Version  int64
 	Services map[string]Service
 	Limits   Limits
-	routes   map[string][]*Route
-	count    int
+	// routes are the routes by normalized host, and count is their number.
+	routes map[string][]*Route
+	count  int
 }
 
-// NewConfig indexes routes by host. It keeps the pointers it is given.
+// NewConfig returns a configuration with the routes indexed by host. It keeps the pointers in
+// routes.
 func NewConfig(version int64, routes []*Route, services []Service, limits Limits) *Config {
 	c := &Config{
 		Version:  version,
@@ -109,16 +118,16 @@
 		c.Services[s.Name] = s
 	}
 	for _, r := range routes {
-		host := normalHost(r.Host)
+		host := normalizeHost(r.Host)
 		c.routes[host] = append(c.routes[host], r)
 	}
 	return c
 }
 
-// RouteCount is how many routes the version has.
+// RouteCount returns the number of routes.
 func (c *Config) RouteCount() int { return c.count }
 
-// Routes calls f with each route until f returns false.
+// Routes calls f for each route until f returns false.
 func (c *Config) Routes(f func(*Route) bool) {
 	for _, list := range c.routes {
 		for _, r := range list {
@@ -129,12 +138,11 @@
 	}
 }
 
-// Match returns the route with the longest prefix that begins path among the
-// routes of host, or nil. Host may carry a port; path is the undecoded path
-// without the query.
+// Match returns the route of host with the longest prefix that path begins with, or nil if
+// there is none. The host may include a port. The path is the escaped path without the query.
 func (c *Config) Match(host, path string) *Route {
 	var best *Route
-	for _, r := range c.routes[normalHost(host)] {
+	for _, r := range c.routes[normalizeHost(host)] {
 		if !strings.HasPrefix(path, r.Prefix) {
 			continue
 		}
@@ -145,8 +153,8 @@
 	return best
 }
 
-// normalHost drops the port and the case of a Host header.
-func normalHost(host string) string {
+// normalizeHost returns a Host header in lower case and without the port.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
 	}
--- a/pkg/routing/splitter.go
+++ b/pkg/routing/splitter.go
@@ -2,23 +2,24 @@
 
 import "sync"
 
-// Splitter spreads the requests of routes over their targets by weight.
+// Splitter distributes the requests of routes over their targets by weight.
 //
-// It is a smooth weighted round robin: each target earns its weight per
-// request and the richest one is taken and pays the sum. Drawing at random
-// instead misses a share of 0.5 by more than 0.1 in about one of 2,000 runs
-// of 300 requests; this keeps every prefix of the sequence within one request
-// of its share.
+// It uses smooth weighted round robin: for each request, the credit of every target grows by
+// the target's weight. The target with the highest credit is chosen, and its credit is reduced
+// by the sum of the weights. With random selection, about one in 2,000 runs of 300 requests
+// would deviate from a share of 0.5 by more than 0.1. With round robin, every prefix of the
+// sequence stays within one request of the shares.
 type Splitter struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// credit is the current credit of each service, by route name and service name.
 	credit map[string]map[string]float64
 }
 
 // NewSplitter returns an empty splitter.
 func NewSplitter() *Splitter { return &Splitter{credit: make(map[string]map[string]float64)} }
 
-// Pick returns the service that the next request of r goes to, or "" when the
-// route has no target of positive weight.
+// Pick returns the service for the next request of r. It returns "" if r has no target, or
+// several targets and none of positive weight.
 func (s *Splitter) Pick(r *Route) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
@@ -48,7 +49,7 @@
 	return best
 }
 
-// Reset forgets all credit; a new configuration may have other weights.
+// Reset clears all credit, because a new configuration may have different weights.
 func (s *Splitter) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
