--- a/pkg/replica/class.go
+++ b/pkg/replica/class.go
@@ -134,7 +134,7 @@
 // With a fixed half-life of one second, an instance that receives one query every two seconds
 // would have forgotten which leafs are slow before each query: it would choose them first again
 // and send second requests until the budget is exhausted. The half-life therefore grows with
-// the gap between requests. A leaf of several services uses the one with the smallest gap.
+// the gap between requests. A leaf of several services uses their smallest gap.
 func (s *service) recordRequest(now time.Time) {
 	if !s.lastRequestAt.IsZero() {
 		s.requestGap += time.Duration(requestGapWeight * float64(now.Sub(s.lastRequestAt)-s.requestGap))
--- a/pkg/replica/leaf_record.go
+++ b/pkg/replica/leaf_record.go
@@ -214,7 +214,7 @@
 }
 
 // learnedLimitGrowthInterval is the time after which the learned limit grows by one request.
-// Leafs count a lost connection until its idle timeout, which is some seconds.
+// Leafs count a lost connection until its idle timeout has passed, which takes some seconds.
 const learnedLimitGrowthInterval = 2 * time.Second
 
 // recordConnLimitReached records that the leaf closed a new connection.
--- a/pkg/replica/zones.go
+++ b/pkg/replica/zones.go
@@ -10,7 +10,7 @@
 	// minSilentLeafs is the number of leafs of a zone that must be silent or refuse connections
 	// at the same time. Pauses affect only one leaf at a time.
 	minSilentLeafs = 3
-	// zoneSilenceThreshold is how long no leaf of the zone must have replied.
+	// zoneSilenceThreshold is the minimum time without a reply from any leaf of the zone.
 	zoneSilenceThreshold = 150 * time.Millisecond
 	// zoneProbeInterval is the time between health checks of a suspected zone.
 	zoneProbeInterval = 300 * time.Millisecond
