--- a/pkg/quarantine/dump.go
+++ b/pkg/quarantine/dump.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// State is a request's row in the state dump.
+// State describes one request in the state dump.
 type State struct {
 	Content string `json:"content"`
 	Verdict string `json:"verdict"`
-	// LeafsEnded is how many leafs have ended under it, as far as is remembered (four),
-	// the last of Service.
+	// LeafsEnded is the number of leafs whose process ended while they had the request, of which
+	// at most four are remembered. Service is the shard of the last one.
 	LeafsEnded int    `json:"leafs_ended"`
 	Service    string `json:"service"`
 	Trials     int    `json:"trials"`
-	// RemainingMs is how much longer it is quarantined, QuietMs how long ago a leaf ended.
+	// RemainingMs is the time left of the quarantine; zero means that the request is not
+	// quarantined. SinceLastEndMs is the time since a leaf last ended.
 	RemainingMs    int64 `json:"left_ms"`
 	SinceLastEndMs int64 `json:"quiet_ms"`
 }
 
-// Dump lists the requests that are not sound.
+// Dump returns the requests that are suspected or quarantined, those with the most recent end
+// first.
 func (t *Table) Dump(now time.Time) []State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,8 +29,10 @@
 	for k, r := range t.records {
 		if v := r.verdict(now); v != Sound {
 			out = append(out, State{
-				Content: k.String(), Verdict: v.String(), LeafsEnded: len(r.ends), Service: r.service, Trials: r.trials,
-				RemainingMs: max(r.until.Sub(now), 0).Milliseconds(), SinceLastEndMs: now.Sub(r.touched).Milliseconds(),
+				Content: k.String(), Verdict: v.String(), LeafsEnded: len(r.endIDs),
+				Service: r.service, Trials: r.trials,
+				RemainingMs:    max(r.quarantinedUntil.Sub(now), 0).Milliseconds(),
+				SinceLastEndMs: now.Sub(r.lastEnd).Milliseconds(),
 			})
 		}
 	}
@@ -36,18 +40,18 @@
 	return out
 }
 
-// Count is how many requests have a verdict.
+// Count returns the number of remembered requests that have the given verdict.
 func (t *Table) Count(v Verdict, now time.Time) int {
-	if t.size.Load() == 0 {
+	if t.recordCount.Load() == 0 {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.count(v, now)
+	return t.countLocked(v, now)
 }
 
-// count is Count; mu is held.
-func (t *Table) count(v Verdict, now time.Time) int {
+// countLocked is Count for callers that hold mu.
+func (t *Table) countLocked(v Verdict, now time.Time) int {
 	n := 0
 	for _, r := range t.records {
 		if r.verdict(now) == v {
--- /dev/null
+++ b/pkg/quarantine/fleetsim_test.go
@@ -0,0 +1,270 @@
+package quarantine
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The simulated fleet consists of instances that exchange reports as real ones do, over a network
+// that loses, delays and duplicates datagrams and is partitioned at times.
+const (
+	simStep = 10 * time.Millisecond
+	// simReportInterval is the interval at which changes are sent to all instances.
+	// simAntiEntropyInterval is the interval at which each instance exchanges a membership
+	// message with one other.
+	simReportInterval      = 100 * time.Millisecond
+	simAntiEntropyInterval = time.Second
+	// simConvergenceTime is how long an instance must have been running and connected to the
+	// others before its requests count as retries.
+	simConvergenceTime = 4 * time.Second
+	simLossRate        = 0.2
+	simDuration        = 90 * time.Second
+	// simShards and simReplicas give the number of leafs. A request goes to one leaf of each of
+	// its shards.
+	simShards, simReplicas = 20, 2
+)
+
+// datagram is a datagram in transit.
+type datagram struct {
+	to      int
+	arrival time.Time
+	reports []Report
+}
+
+// simRequest is a request at the leafs of one instance.
+type simRequest struct {
+	instance int
+	began    time.Time
+	doneAt   time.Time
+	crashing bool
+	attempt  int
+	trial    bool
+	// leafs are the leafs that have the request.
+	leafs []int
+}
+
+// sim is the state of one simulated day.
+type sim struct {
+	t       *testing.T
+	rng     *rand.Rand
+	now     time.Time
+	tables  []*Table
+	started []time.Time
+	// partitionedUntil is the time at which the network partition ends. The first partitionSize
+	// instances are on one side of it.
+	partitionedUntil time.Time
+	partitionSize    int
+	inTransit        []datagram
+	inFlight         []simRequest
+	attempts         int
+	// incarnations is how often each leaf has ended, and endedAt when it last did.
+	incarnations [simShards * simReplicas]int
+	endedAt      [simShards * simReplicas]time.Time
+	// thirdEndAt is when the third leaf ended. lateRetries counts the retries after it that
+	// converged instances sent to leafs.
+	thirdEndAt  time.Time
+	leafsEnded  int
+	lateRetries int
+	// served and refused count the attempts of the harmless request, which arrives at the same
+	// rate.
+	served, refused int
+}
+
+func newSim(t *testing.T, seed uint64) *sim {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	s := &sim{t: t, rng: rng, now: epoch}
+	for range 3 + rng.IntN(20) {
+		s.tables = append(s.tables, NewTable())
+		s.started = append(s.started, epoch.Add(-time.Hour))
+	}
+	return s
+}
+
+// partitioned reports whether two instances are on different sides of a network partition.
+func (s *sim) partitioned(a, b int) bool {
+	return s.now.Before(s.partitionedUntil) && (a < s.partitionSize) != (b < s.partitionSize)
+}
+
+func (s *sim) send(from, to int, reports []Report) {
+	if len(reports) == 0 || s.partitioned(from, to) {
+		return
+	}
+	for range 1 + s.rng.IntN(2)*s.rng.IntN(2) {
+		if s.rng.Float64() >= simLossRate {
+			s.inTransit = append(s.inTransit, datagram{
+				to: to, arrival: s.now.Add(time.Duration(s.rng.IntN(60)) * time.Millisecond), reports: reports,
+			})
+		}
+	}
+}
+
+// gossip makes instances exchange reports.
+func (s *sim) gossip(elapsed time.Duration) {
+	for i, table := range s.tables {
+		if elapsed%simReportInterval == 0 {
+			reports := table.PendingReports(12, s.now)
+			for j := range s.tables {
+				if j != i {
+					s.send(i, j, reports)
+				}
+			}
+		}
+		if elapsed%simAntiEntropyInterval == 0 {
+			j := s.rng.IntN(len(s.tables))
+			s.send(i, j, table.AntiEntropyReports(4, s.now))
+			s.send(j, i, s.tables[j].AntiEntropyReports(4, s.now))
+		}
+	}
+	s.inTransit = slices.DeleteFunc(s.inTransit, func(p datagram) bool {
+		if p.arrival.After(s.now) {
+			return false
+		}
+		for _, n := range p.reports {
+			s.tables[p.to].Merge(n, s.now)
+		}
+		return true
+	})
+}
+
+// converged reports whether an instance has been running, and connected to the others, for long
+// enough.
+func (s *sim) converged(i int) bool {
+	return s.now.Sub(s.started[i]) > simConvergenceTime && s.now.Sub(s.partitionedUntil) > simConvergenceTime
+}
+
+// submit sends one attempt of a request through an instance.
+func (s *sim) submit(i int, k Key, crashing bool, leafs int) {
+	admission := s.tables[i].Admit(k, s.now)
+	if admission.Verdict == Quarantined {
+		if !crashing {
+			s.refused++
+		}
+		return
+	}
+	trial := admission.Verdict == Suspect
+	first := 0
+	if trial {
+		first, leafs = s.rng.IntN(leafs), 1
+	}
+	var at []int
+	for shard := first; shard < first+leafs; shard++ {
+		at = append(at, shard*simReplicas+s.rng.IntN(simReplicas))
+	}
+	s.attempts++
+	if crashing && s.leafsEnded >= 3 && s.now.Sub(s.thirdEndAt) > simConvergenceTime && s.converged(i) {
+		s.lateRetries++
+	}
+	s.inFlight = append(s.inFlight, simRequest{
+		instance: i, began: s.now,
+		doneAt:   s.now.Add(time.Duration(5+s.rng.IntN(40)) * time.Millisecond),
+		crashing: crashing, trial: trial, leafs: at, attempt: s.attempts,
+	})
+}
+
+// completeDue records the outcome of the requests that are due. A crashing request ends its
+// leafs, together with any harmless requests there.
+func (s *sim) completeDue(crashing, harmless Key) {
+	var left []simRequest
+	for _, r := range s.inFlight {
+		if r.doneAt.After(s.now) {
+			left = append(left, r)
+			continue
+		}
+		if !r.crashing {
+			s.completeHarmless(r, harmless)
+			continue
+		}
+		for _, leaf := range r.leafs {
+			s.incarnations[leaf]++
+			s.endedAt[leaf] = s.now
+			s.leafsEnded++
+			s.recordLeafEnd(r, crashing, leaf)
+		}
+		if s.leafsEnded >= 3 && s.thirdEndAt.IsZero() {
+			s.thirdEndAt = s.now
+		}
+		if r.trial {
+			s.tables[r.instance].RecordTrial(crashing, LeafEnded, s.now)
+		}
+	}
+	s.inFlight = left
+}
+
+// recordLeafEnd makes an instance record that a leaf ended.
+func (s *sim) recordLeafEnd(r simRequest, k Key, leaf int) {
+	name := fmt.Sprint(leaf, "/", s.incarnations[leaf])
+	s.tables[r.instance].RecordLeafEnd(k, fmt.Sprint(r.attempt), name, "s", r.began, s.now)
+}
+
+// completeHarmless records the outcome of the harmless request.
+func (s *sim) completeHarmless(r simRequest, k Key) {
+	trial := Answered
+	for _, leaf := range r.leafs {
+		if s.endedAt[leaf].After(r.began) {
+			trial = LeafEnded
+			s.recordLeafEnd(r, k, leaf)
+		}
+	}
+	if trial == Answered {
+		s.served++
+	}
+	if r.trial {
+		s.tables[r.instance].RecordTrial(k, trial, s.now)
+	}
+}
+
+// injectFaults restarts instances and partitions the network at random.
+func (s *sim) injectFaults() {
+	switch s.rng.IntN(1500) {
+	case 0:
+		i := s.rng.IntN(len(s.tables))
+		s.tables[i] = NewTable()
+		s.started[i] = s.now
+	case 1:
+		if s.now.After(s.partitionedUntil) {
+			s.partitionSize = 1 + s.rng.IntN(len(s.tables))
+			s.partitionedUntil = s.now.Add(time.Duration(s.rng.IntN(8000)) * time.Millisecond)
+		}
+	}
+}
+
+// run simulates a day on which a crashing request arrives every few tenths of a second at random
+// instances, beside a harmless request at the same rate.
+func (s *sim) run() {
+	crashing, harmless := key(0), key(1)
+	shards := 1 + s.rng.IntN(20)
+	for elapsed := time.Duration(0); elapsed < simDuration; elapsed += simStep {
+		s.now = epoch.Add(elapsed)
+		s.injectFaults()
+		s.gossip(elapsed)
+		s.completeDue(crashing, harmless)
+		if s.rng.IntN(30) == 0 {
+			s.submit(s.rng.IntN(len(s.tables)), crashing, true, shards)
+		}
+		if s.rng.IntN(30) == 0 {
+			s.submit(s.rng.IntN(len(s.tables)), harmless, false, shards)
+		}
+	}
+}
+
+// Guards against a crashing request that arrives at one instance after the other, each of which
+// lets it end leafs until it has seen this itself. Instances that exchange reports, over a
+// network that loses a fifth of the datagrams, with restarts and partitions, send it to leafs
+// three more times at most. A harmless request in flight at the same leafs is served.
+func TestFleetLimitsRetriesOfCrashingRequest(t *testing.T) {
+	served, refused, ended, maxRetries := 0, 0, 0, 0
+	for seed := range uint64(300) {
+		s := newSim(t, seed)
+		s.run()
+		require.LessOrEqual(t, s.lateRetries, 3, "seed %d: retries with %d instances; %d leafs ended", seed, len(s.tables), s.leafsEnded)
+		require.Greater(t, s.served, 3*s.refused, "seed %d: the harmless request is served all day except during one quarantine", seed)
+		served, refused, ended, maxRetries = served+s.served, refused+s.refused, ended+s.leafsEnded, max(maxRetries, s.lateRetries)
+	}
+	require.Less(t, 100*refused, served, "over all days, less than one in a hundred harmless requests is refused")
+	t.Logf("harmless requests: %d served, %d refused; %d leafs ended in 300 days, at most %d retries", served, refused, ended, maxRetries)
+}
--- a/pkg/quarantine/key.go
+++ b/pkg/quarantine/key.go
@@ -1,5 +1,5 @@
-// Package quarantine knows requests that end the leafs which run them, by what they ask
-// and not by the ID of an attempt.
+// Package quarantine detects requests that crash the leafs running them, and keeps them from
+// further leafs. It identifies a request by its content and not by the ID of an attempt.
 package quarantine
 
 import (
@@ -8,21 +8,21 @@
 	"encoding/hex"
 )
 
-// Key names what a request asks of leafs. Each attempt has an ID of its own, so that only
-// the content tells that a request has come again, at whichever instance.
+// Key identifies the content of a request. Every attempt has a new request ID, so only the
+// content shows that the same request arrives again, at whichever instance.
 //
-// It is a cryptographic hash: with a weaker one a caller could make up a request that is
-// taken for another caller's.
+// It is a cryptographic hash. With a weaker one, a caller could construct a request that is
+// mistaken for that of another caller.
 type Key [16]byte
 
-// KeyOf is the key of a request with the given parts, which are everything that leafs get
-// but for what differs with each attempt.
+// KeyOf returns the key of a request with the given parts. The parts must include everything that
+// is sent to leafs, except for what differs between attempts.
 func KeyOf(parts ...string) Key {
 	h := sha256.New()
 	var size [8]byte
 	for _, part := range parts {
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
-		h.Write(size[:]) // A hash takes everything.
+		h.Write(size[:]) // A hash never returns an error.
 		h.Write([]byte(part))
 	}
 	var k Key
@@ -30,13 +30,15 @@
 	return k
 }
 
-// shownBytes is how much of a key log lines show: enough to tell requests apart.
-const shownBytes = 8
+// keyPrefixBytes is the number of bytes of a key that is shown in logs; it is enough to
+// distinguish requests.
+const keyPrefixBytes = 8
 
-// String is the key as log lines and the state dump show it, "" for a request without one.
+// String returns the key as shown in logs and in the state dump. It is empty for a request
+// without a key.
 func (k Key) String() string {
 	if k == (Key{}) {
 		return ""
 	}
-	return hex.EncodeToString(k[:shownBytes])
+	return hex.EncodeToString(k[:keyPrefixBytes])
 }
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -9,89 +9,96 @@
 type Verdict int
 
 const (
-	// Sound: like any other.
+	// Sound means that the request is handled like any other.
 	Sound Verdict = iota
-	// Suspect: leafs have ended while they ran it. It is tried at one leaf; if that one
-	// answers, it is sound.
+	// Suspect means that leafs have ended while they had the request. It is tried at one leaf,
+	// and is sound again if that leaf answers.
 	Suspect
-	// Quarantined: it ended a leaf in a trial, too, and is sent to none for a while.
+	// Quarantined means that the request also ended a leaf in a trial. For some time it is not
+	// sent to any leaf.
 	Quarantined
 )
 
-// String names the verdict in logs and the state dump.
+// String returns the name of the verdict used in logs and in the state dump.
 func (v Verdict) String() string { return [...]string{"sound", "suspect", "quarantined"}[v] }
 
 const (
-	// suspectAfter is how many leafs must have ended under a request before it is tried at
-	// one. A single end may have another cause; a request to one leaf is sent to a second one
-	// after it, as after any failure.
-	suspectAfter = 2
-	// rememberFor is how long a suspect is remembered without news.
-	rememberFor = 10 * time.Minute
-	// recordsMost bounds the requests that are remembered, about 1 MB.
-	recordsMost = 4096
-	// evidenceMost bounds the ends that are remembered of a request: more change nothing.
-	evidenceMost = 4
-	// sweepEvery is how often what is no longer remembered is dropped.
-	sweepEvery = 10 * time.Second
-	// trialMost is how long a trial may be under way at most: longer than callers wait.
-	trialMost = 30 * time.Second
-	// trialRetry is when to come back while the same request is being tried.
-	trialRetry = 250 * time.Millisecond
+	// suspectThreshold is the number of leafs that must have ended with a request before it is
+	// tried at a single leaf. A single end may have another cause. A request that needs one leaf
+	// only is sent to a second one after it, as after any failure.
+	suspectThreshold = 2
+	// recordTTL is how long a suspected request is remembered after the last event concerning it.
+	recordTTL = 10 * time.Minute
+	// maxRecords is the maximum number of requests that are remembered; they take about 1 MB.
+	maxRecords = 4096
+	// maxEndIDs is the maximum number of ends that are remembered for a request. More would not
+	// change the verdict.
+	maxEndIDs = 4
+	// sweepInterval is the interval at which expired records are removed.
+	sweepInterval = 10 * time.Second
+	// trialTimeout is the maximum duration of a trial. It is longer than callers wait.
+	trialTimeout = 30 * time.Second
+	// trialRetryAfter is the delay after which callers should retry while the same request is
+	// being tried.
+	trialRetryAfter = 250 * time.Millisecond
 )
 
-// quarantineFor is how long a request is quarantined after the first, the second, and any
-// further trial that ended a leaf. One whose trial met a leaf that ended for another reason is
-// soon tried again; one that ends leafs for good costs three of them in a day.
-var quarantineFor = [...]time.Duration{10 * time.Second, 10 * time.Minute, 24 * time.Hour}
+// quarantineDurations are the durations of the quarantine after the first, the second and any
+// further trial that ended a leaf. A request whose trial met a leaf that ended for another reason
+// is soon tried again. A request that always crashes its leaf ends three leafs in a day.
+var quarantineDurations = [...]time.Duration{10 * time.Second, 10 * time.Minute, 24 * time.Hour}
 
-// manyQuarantined is how many requests may be quarantined at once before leafs are taken to
-// end whatever they run, as after a bad release. The fault is theirs then, and a long
-// quarantine would outlast its repair: each request is tried again after the shortest.
-const manyQuarantined = 16
+// massQuarantineThreshold is the number of quarantined requests at which leafs are assumed to
+// crash on any request, as after a bad release. The fault is then in the leafs, and a long
+// quarantine would outlast its repair, so each request is tried again after the shortest
+// duration.
+const massQuarantineThreshold = 16
 
-// A trial whose leaf neither answered nor ended says nothing: it refused for want of room, or
-// the time was up. The next one waits unresolvedFirst, and twice as long each time, up to
-// unresolvedMost.
+// A trial whose leaf neither answered nor ended yields no result: the leaf refused because it was
+// full, or the deadline passed. The next trial is delayed by minUnresolvedBackoff, and by twice
+// as long after each further one, up to maxUnresolvedBackoff.
 const (
-	unresolvedFirst = 5 * time.Second
-	unresolvedMost  = 10 * time.Minute
+	minUnresolvedBackoff = 5 * time.Second
+	maxUnresolvedBackoff = 10 * time.Minute
 )
 
-// record is what is known of one request.
+// record is what is known about one request.
 type record struct {
-	// ends name the ends of leafs under it, for merging with what others saw.
-	ends []uint64
-	// leaf is the leaf that ended last, of service.
+	// endIDs identify the ends of leafs that had the request, so that they can be merged with
+	// those that other instances saw.
+	endIDs []uint64
+	// leaf is the leaf that ended last; it belongs to service.
 	leaf, service string
-	// touched is when a leaf ended last.
-	touched time.Time
-	// trials counts those that ended a leaf, unresolved those in a row that said nothing.
+	// lastEnd is the time at which a leaf ended last.
+	lastEnd time.Time
+	// trials is the number of trials that ended a leaf. unresolved is the number of consecutive
+	// trials without a result.
 	trials, unresolved int
-	// until is the end of the quarantine.
-	until time.Time
-	// tryingUntil bounds the trial that is under way here; zero: none is.
-	tryingUntil time.Time
+	// quarantinedUntil is the end of the quarantine; zero means that there was none.
+	quarantinedUntil time.Time
+	// trialUntil is the time at which the current trial of this instance times out; zero means
+	// that there is no trial.
+	trialUntil time.Time
 }
 
 func (r *record) verdict(now time.Time) Verdict {
 	switch {
 	case r == nil:
 		return Sound
-	case now.Before(r.until):
+	case now.Before(r.quarantinedUntil):
 		return Quarantined
-	case len(r.ends) >= suspectAfter:
+	case len(r.endIDs) >= suspectThreshold:
 		return Suspect
 	}
 	return Sound
 }
 
-// add takes over the name of an end, and reports whether it was new.
-func (r *record) add(end uint64) bool {
-	if len(r.ends) >= evidenceMost || slices.Contains(r.ends, end) {
+// addEnd adds the ID of an end, and reports whether it was new and is remembered.
+func (r *record) addEnd(id uint64) bool {
+	if len(r.endIDs) >= maxEndIDs || slices.Contains(r.endIDs, id) {
 		return false
 	}
-	r.ends = append(r.ends, end)
+	r.endIDs = append(r.endIDs, id)
 	return true
 }
 
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -11,86 +11,88 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table knows the requests under which leafs have ended. It is safe for concurrent use and
-// does no I/O; time is an argument.
+// Table records the requests that leafs had in flight when their process ended. It is safe for
+// concurrent use and does no I/O; the current time is an argument.
 //
-// What goes wrong without it: a request that makes leafs crash is sent to a leaf of every
-// shard, then to the other leafs as a repeat after a failure, and again with each of its
-// callers' attempts. One notices all leafs of a service end together, again and again, and a
-// query among those in flight that no leaf ever answered. Requests that were merely in flight
-// at the same leafs are told from it by a trial: a leaf answers them.
+// Without it, a request that crashes leafs is sent to a leaf of every shard, then to the other
+// leafs as a retry after a failure, and again with each attempt of its callers. The symptom is
+// that all leafs of a service end together, again and again, and that one of the queries in
+// flight was never answered by any leaf. Requests that were merely in flight at the same leafs
+// are distinguished from it by a trial: a leaf answers them.
 type Table struct {
 	mu      sync.Mutex
 	records map[Key]*record
-	// told are the changes that others have not been told yet.
-	told  []pendingNote
-	swept time.Time
-	// most bounds how long a request is quarantined.
-	most time.Duration
-	// size is the number of records, read without the lock: nearly always 0.
-	size atomic.Int64
-	// cursor is where Some goes on.
+	// pending are the changes that still have to be sent to other instances.
+	pending   []pendingReport
+	lastSweep time.Time
+	// maxDuration is the maximum duration of a quarantine.
+	maxDuration time.Duration
+	// recordCount is the number of records. It is almost always 0 and is read without the lock.
+	recordCount atomic.Int64
+	// cursor is the key at which the next call of AntiEntropyReports starts.
 	cursor Key
 	counts Counts
 }
 
-// Counts are what has happened so far.
+// Counts are counters of events since the start.
 type Counts struct {
-	// LeafsEnded counts ends of leafs under requests of this instance.
+	// LeafsEnded counts the ends of leafs that had requests of this instance.
 	LeafsEnded atomic.Int64
-	// Trials counts requests that were tried at one leaf.
+	// Trials counts the requests that were tried at one leaf.
 	Trials atomic.Int64
-	// Cleared counts suspects that a leaf has answered.
+	// Cleared counts the suspected requests that a leaf has answered.
 	Cleared atomic.Int64
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: make(map[Key]*record), most: quarantineFor[len(quarantineFor)-1]}
+	return &Table{records: make(map[Key]*record), maxDuration: quarantineDurations[len(quarantineDurations)-1]}
 }
 
-// SetMaxDuration bounds how long a request is quarantined, also those that are.
-func (t *Table) SetMaxDuration(most time.Duration, now time.Time) {
+// SetMaxDuration limits the duration of quarantines, including those already in force.
+func (t *Table) SetMaxDuration(maxDuration time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.most = most
+	t.maxDuration = maxDuration
 	for _, r := range t.records {
-		r.until = earlier(r.until, now.Add(most))
+		r.quarantinedUntil = earlier(r.quarantinedUntil, now.Add(maxDuration))
 	}
 }
 
-// Counts are the counters.
+// Counts returns the counters.
 func (t *Table) Counts() *Counts { return &t.counts }
 
-// VerdictChange is a change of what is believed of a request.
+// VerdictChange describes the verdicts on a request before and after an event.
 type VerdictChange struct {
 	Key      Key
 	From, To Verdict
-	// LeafsEnded is how many leafs have ended under it, as far as is remembered, the last of
-	// Service.
+	// LeafsEnded is the number of leafs that ended while they had the request, as far as
+	// remembered. Service is the shard of the last one.
 	LeafsEnded int
 	Service    string
 	Trials     int
-	// QuarantinedFor is how long it is quarantined.
+	// QuarantinedFor is the time left of the quarantine.
 	QuarantinedFor time.Duration
 }
 
-// Changed reports whether anything changed.
-func (u VerdictChange) Changed() bool { return u.From != u.To }
+// Changed reports whether the verdict changed.
+func (c VerdictChange) Changed() bool { return c.From != c.To }
 
-// turn describes a change; mu is held.
-func (t *Table) turn(k Key, from Verdict, now time.Time) VerdictChange {
+// verdictChange describes the change from an earlier verdict to the current one. The caller must
+// hold mu.
+func (t *Table) verdictChange(k Key, from Verdict, now time.Time) VerdictChange {
 	r := t.records[k]
-	u := VerdictChange{Key: k, From: from, To: r.verdict(now)}
+	change := VerdictChange{Key: k, From: from, To: r.verdict(now)}
 	if r != nil {
-		u.LeafsEnded, u.Service, u.Trials, u.QuarantinedFor = len(r.ends), r.service, r.trials, max(r.until.Sub(now), 0)
+		change.LeafsEnded, change.Service, change.Trials, change.QuarantinedFor =
+			len(r.endIDs), r.service, r.trials, max(r.quarantinedUntil.Sub(now), 0)
 	}
-	return u
+	return change
 }
 
-// Verdict is what is believed of a request now.
+// Verdict returns the current verdict on a request.
 func (t *Table) Verdict(k Key, now time.Time) Verdict {
-	if t.size.Load() == 0 {
+	if t.recordCount.Load() == 0 {
 		return Sound
 	}
 	t.mu.Lock()
@@ -98,9 +100,10 @@
 	return t.records[k].verdict(now)
 }
 
-// Remaining is for how much longer a request is quarantined; zero: it is not.
+// Remaining returns the time left of a request's quarantine; zero means that it is not
+// quarantined.
 func (t *Table) Remaining(k Key, now time.Time) time.Duration {
-	if t.size.Load() == 0 {
+	if t.recordCount.Load() == 0 {
 		return 0
 	}
 	t.mu.Lock()
@@ -109,22 +112,22 @@
 	if r.verdict(now) != Quarantined {
 		return 0
 	}
-	return r.until.Sub(now)
+	return r.quarantinedUntil.Sub(now)
 }
 
 // Admission says how a request may be sent.
 type Admission struct {
-	// Verdict: Suspect means that it is to be tried at one leaf, best one of Service, and
-	// that TrialEnded must be called.
+	// Verdict is Suspect if the request must be tried at one leaf, preferably one of Service.
+	// RecordTrial must then be called with the outcome.
 	Verdict Verdict
 	Service string
-	// RetryAfter is when a quarantined request may be sent again.
+	// RetryAfter is the delay after which a quarantined request may be sent again.
 	RetryAfter time.Duration
 }
 
-// Admit decides on a request that is about to be sent to leafs.
+// Admit decides how a request that is about to be sent to leafs may be sent.
 func (t *Table) Admit(k Key, now time.Time) Admission {
-	if t.size.Load() == 0 {
+	if t.recordCount.Load() == 0 {
 		return Admission{}
 	}
 	t.mu.Lock()
@@ -132,20 +135,21 @@
 	r := t.records[k]
 	switch r.verdict(now) {
 	case Quarantined:
-		return Admission{Verdict: Quarantined, RetryAfter: r.until.Sub(now)}
+		return Admission{Verdict: Quarantined, RetryAfter: r.quarantinedUntil.Sub(now)}
 	case Suspect:
-		if now.Before(r.tryingUntil) {
-			return Admission{Verdict: Quarantined, RetryAfter: trialRetry}
+		if now.Before(r.trialUntil) {
+			return Admission{Verdict: Quarantined, RetryAfter: trialRetryAfter}
 		}
 		t.counts.Trials.Add(1)
-		r.tryingUntil = now.Add(trialMost)
+		r.trialUntil = now.Add(trialTimeout)
 		return Admission{Verdict: Suspect, Service: r.service}
 	}
 	return Admission{}
 }
 
-// RecordLeafEnd takes over that a leaf of a service ended while it had an attempt of a request, since
-// began. Several attempts that a leaf had when it ended count once.
+// RecordLeafEnd records that a leaf of a service ended while it had an attempt of a request that
+// was sent to it at began. If the leaf had several attempts of the request when it ended, they
+// count once.
 func (t *Table) RecordLeafEnd(k Key, attempt, leaf, service string, began, now time.Time) VerdictChange {
 	if k == (Key{}) {
 		return VerdictChange{}
@@ -155,31 +159,32 @@
 	t.counts.LeafsEnded.Add(1)
 	r := t.record(k, now)
 	from := r.verdict(now)
-	if r.leaf == leaf && !began.After(r.touched) {
-		return t.turn(k, from, now)
+	if r.leaf == leaf && !began.After(r.lastEnd) {
+		return t.verdictChange(k, from, now)
 	}
-	r.leaf, r.service, r.touched = leaf, service, now
-	if r.add(xxhash.Sum64String(leaf + " " + attempt)) {
-		t.tell(k, false, now)
+	r.leaf, r.service, r.lastEnd = leaf, service, now
+	if r.addEnd(xxhash.Sum64String(leaf + " " + attempt)) {
+		t.queueReport(k, false, now)
 	}
-	return t.turn(k, from, now)
+	return t.verdictChange(k, from, now)
 }
 
-// TrialOutcome is how a trial ended.
+// TrialOutcome is the outcome of a trial.
 type TrialOutcome int
 
 const (
-	// Unsent: no leaf got the request.
+	// Unsent means that no leaf received the request.
 	Unsent TrialOutcome = iota
-	// Answered: a leaf answered it.
+	// Answered means that a leaf answered the request.
 	Answered
-	// LeafEnded: the leaf ended.
+	// LeafEnded means that the leaf ended.
 	LeafEnded
-	// Unresolved: the leaf got it and did neither.
+	// Unresolved means that the leaf received the request, but neither answered nor ended.
 	Unresolved
 )
 
-// RecordTrial takes over how the trial of a suspect ended.
+// RecordTrial records the outcome of the trial of a suspected request, and returns the resulting
+// change of its verdict.
 func (t *Table) RecordTrial(k Key, trial TrialOutcome, now time.Time) VerdictChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,86 +193,88 @@
 		return VerdictChange{}
 	}
 	from := r.verdict(now)
-	r.tryingUntil = time.Time{}
+	r.trialUntil = time.Time{}
 	switch trial {
 	case Unsent:
-		return t.turn(k, from, now)
+		return t.verdictChange(k, from, now)
 	case Answered:
 		t.counts.Cleared.Add(1)
-		t.drop(k)
-		t.tell(k, true, now)
-		return t.turn(k, from, now)
+		t.deleteRecord(k)
+		t.queueReport(k, true, now)
+		return t.verdictChange(k, from, now)
 	case LeafEnded:
 		r.unresolved = 0
-		r.until = now.Add(min(t.quarantineFor(r, now), t.most))
+		r.quarantinedUntil = now.Add(min(t.quarantineDuration(r, now), t.maxDuration))
 		r.trials++
 	case Unresolved:
-		r.until = now.Add(min(unresolvedFirst<<min(r.unresolved, 16), unresolvedMost, t.most))
+		r.quarantinedUntil = now.Add(min(minUnresolvedBackoff<<min(r.unresolved, 16), maxUnresolvedBackoff, t.maxDuration))
 		r.unresolved++
 	}
-	t.tell(k, false, now)
-	return t.turn(k, from, now)
+	t.queueReport(k, false, now)
+	return t.verdictChange(k, from, now)
 }
 
-// quarantineFor is how long a request is quarantined whose trial ended a leaf; mu is held.
-func (t *Table) quarantineFor(r *record, now time.Time) time.Duration {
-	if t.count(Quarantined, now) >= manyQuarantined {
-		return quarantineFor[0]
+// quarantineDuration returns the duration of the quarantine after a trial that ended a leaf. The
+// caller must hold mu.
+func (t *Table) quarantineDuration(r *record, now time.Time) time.Duration {
+	if t.countLocked(Quarantined, now) >= massQuarantineThreshold {
+		return quarantineDurations[0]
 	}
-	return quarantineFor[min(r.trials, len(quarantineFor)-1)]
+	return quarantineDurations[min(r.trials, len(quarantineDurations)-1)]
 }
 
-// record returns the record of a request, made on first use; mu is held.
+// record returns the record of a request, which is created on first use. The caller must hold mu.
 func (t *Table) record(k Key, now time.Time) *record {
 	r := t.records[k]
 	if r != nil {
 		return r
 	}
-	if len(t.records) >= recordsMost {
+	if len(t.records) >= maxRecords {
 		t.evict(now)
 	}
-	r = &record{touched: now}
+	r = &record{lastEnd: now}
 	t.records[k] = r
-	t.size.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 	return r
 }
 
-// drop forgets a request; mu is held.
-func (t *Table) drop(k Key) {
+// deleteRecord removes the record of a request. The caller must hold mu.
+func (t *Table) deleteRecord(k Key) {
 	delete(t.records, k)
-	t.size.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 }
 
-// evictPart is the part of the records that goes when there are too many: looking for one at
-// a time would cost a storm of requests a look at all of them each.
-const evictPart = 8
+// evictDivisor sets the fraction of the records that is evicted when the table is full:
+// 1/evictDivisor. If a single record were evicted at a time, a flood of requests would scan all
+// records once for each request.
+const evictDivisor = 8
 
-// evict makes room: of those that are least to be feared, the ones that were quiet for longest
-// go. mu is held.
+// evict makes room for new records. It removes the records with the mildest verdicts and, among
+// these, those whose last end is longest ago. The caller must hold mu.
 func (t *Table) evict(now time.Time) {
 	keys := slices.SortedFunc(maps.Keys(t.records), func(a, b Key) int {
 		x, y := t.records[a], t.records[b]
-		return cmp.Or(cmp.Compare(x.verdict(now), y.verdict(now)), x.touched.Compare(y.touched))
+		return cmp.Or(cmp.Compare(x.verdict(now), y.verdict(now)), x.lastEnd.Compare(y.lastEnd))
 	})
-	for _, k := range keys[:len(keys)/evictPart] {
-		t.drop(k)
+	for _, k := range keys[:len(keys)/evictDivisor] {
+		t.deleteRecord(k)
 	}
 }
 
-// Sweep drops what is no longer remembered.
+// Sweep removes expired records, at most once per sweepInterval.
 func (t *Table) Sweep(now time.Time) {
-	if t.size.Load() == 0 {
+	if t.recordCount.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.swept) < sweepEvery {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for k, r := range t.records {
-		if now.Sub(later(r.touched, r.until)) > rememberFor {
-			t.drop(k)
+		if now.Sub(later(r.lastEnd, r.quarantinedUntil)) > recordTTL {
+			t.deleteRecord(k)
 		}
 	}
 }
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -13,15 +13,15 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// key is the n-th key.
+// key returns the n-th key.
 func key(n int) Key {
 	var k Key
 	binary.BigEndian.PutUint64(k[:], uint64(n)+1)
 	return k
 }
 
-// suspect is a table with one suspect, of service s.
-func suspect() (*Table, Key) {
+// tableWithSuspect returns a table with one suspected request, of service s.
+func tableWithSuspect() (*Table, Key) {
 	t, k := NewTable(), key(0)
 	for _, leaf := range []string{"a", "b"} {
 		t.RecordLeafEnd(k, "first", leaf, "s", epoch, at(10*time.Millisecond))
@@ -29,40 +29,41 @@
 	return t, k
 }
 
-// A request under which leafs ended is tried at one leaf, and quarantined when that one ends.
+// A request during which leafs ended is tried at one leaf, and quarantined if that leaf ends,
+// too.
 func TestRequestThatEndsLeafsIsQuarantined(t *testing.T) {
 	table, k := NewTable(), key(0)
 	require.Equal(t, Sound, table.Admit(k, epoch).Verdict)
 	require.False(t, table.RecordLeafEnd(k, "r1", "a", "s", epoch, at(time.Millisecond)).Changed())
-	require.Equal(t, Sound, table.Verdict(k, at(time.Millisecond)), "one leaf may have ended for another reason")
-	turn := table.RecordLeafEnd(k, "r1", "b", "s2", epoch, at(2*time.Millisecond))
-	require.Equal(t, Suspect, turn.To)
+	require.Equal(t, Sound, table.Verdict(k, at(time.Millisecond)), "a single leaf may have ended for another reason")
+	change := table.RecordLeafEnd(k, "r1", "b", "s2", epoch, at(2*time.Millisecond))
+	require.Equal(t, Suspect, change.To)
 	require.Equal(t, Admission{Verdict: Suspect, Service: "s2"}, table.Admit(k, at(time.Second)))
-	require.Equal(t, Quarantined, table.Admit(k, at(time.Second)).Verdict, "one trial at a time")
+	require.Equal(t, Quarantined, table.Admit(k, at(time.Second)).Verdict, "only one trial at a time")
 	table.RecordLeafEnd(k, "r2", "c", "s", at(time.Second), at(1010*time.Millisecond))
-	turn = table.RecordTrial(k, LeafEnded, at(1010*time.Millisecond))
-	require.Equal(t, Quarantined, turn.To)
-	require.Equal(t, 10*time.Second, turn.QuarantinedFor)
+	change = table.RecordTrial(k, LeafEnded, at(1010*time.Millisecond))
+	require.Equal(t, Quarantined, change.To)
+	require.Equal(t, 10*time.Second, change.QuarantinedFor)
 	require.Equal(t, 5*time.Second, table.Admit(k, at(6010*time.Millisecond)).RetryAfter)
-	require.Equal(t, Sound, table.Admit(key(1), at(2*time.Second)).Verdict, "other requests are not concerned")
-	require.Equal(t, Sound, table.Admit(Key{}, at(2*time.Second)).Verdict, "nor one without a key")
+	require.Equal(t, Sound, table.Admit(key(1), at(2*time.Second)).Verdict, "other requests are not affected")
+	require.Equal(t, Sound, table.Admit(Key{}, at(2*time.Second)).Verdict, "a request without a key is not affected")
 }
 
-// A request that was in flight by chance when leafs ended is cleared by the leaf that answers.
-func TestTrialThatIsAnsweredClears(t *testing.T) {
-	table, k := suspect()
+// A request that was in flight by chance when leafs ended is cleared when a leaf answers it.
+func TestAnsweredTrialClearsSuspect(t *testing.T) {
+	table, k := tableWithSuspect()
 	require.Equal(t, Suspect, table.Admit(k, at(time.Second)).Verdict)
-	turn := table.RecordTrial(k, Answered, at(1020*time.Millisecond))
-	require.True(t, turn.Changed())
-	require.Equal(t, Sound, turn.To)
+	change := table.RecordTrial(k, Answered, at(1020*time.Millisecond))
+	require.True(t, change.Changed())
+	require.Equal(t, Sound, change.To)
 	require.Equal(t, Sound, table.Admit(k, at(2*time.Second)).Verdict)
 	require.Zero(t, table.Count(Suspect, at(2*time.Second)))
 }
 
-// A request that ends leafs for good is sent to three of them in a day at most, however often
-// it comes.
-func TestTrialsOfADayAreFew(t *testing.T) {
-	table, k := suspect()
+// A request that always crashes its leaf is sent to at most three leafs in a day, however often
+// it arrives.
+func TestTrialsPerDayAreLimited(t *testing.T) {
+	table, k := tableWithSuspect()
 	trials := 0
 	for now := at(time.Second); now.Before(at(24 * time.Hour)); now = now.Add(500 * time.Millisecond) {
 		table.Sweep(now)
@@ -76,10 +77,10 @@
 	require.Equal(t, 3, trials)
 }
 
-// A trial that says nothing is not made again at once, and not forgotten either; one that no
-// leaf got is.
-func TestTrialsThatSayNothing(t *testing.T) {
-	table, k := suspect()
+// A trial without a result is not repeated at once, and the request stays suspected. A trial that
+// no leaf received may be repeated at once.
+func TestUnresolvedTrialsBackOff(t *testing.T) {
+	table, k := tableWithSuspect()
 	now := at(time.Second)
 	for _, wait := range []time.Duration{5 * time.Second, 10 * time.Second, 20 * time.Second} {
 		require.Equal(t, Suspect, table.Admit(k, now).Verdict)
@@ -92,39 +93,41 @@
 }
 
 // Several attempts of one request that a leaf had when it ended count as one end.
-func TestOneEndCountsOnce(t *testing.T) {
+func TestAttemptsAtOneLeafCountAsOneEnd(t *testing.T) {
 	table, k := NewTable(), key(0)
 	for _, attempt := range []string{"r1", "r2", "r3"} {
 		table.RecordLeafEnd(k, attempt, "a", "s", epoch, at(10*time.Millisecond))
 	}
 	require.Equal(t, Sound, table.Verdict(k, at(time.Second)))
 	table.RecordLeafEnd(k, "r4", "a", "s", at(time.Second), at(1010*time.Millisecond))
-	require.Equal(t, Suspect, table.Verdict(k, at(2*time.Second)), "a server that has started again under its name")
+	require.Equal(t, Suspect, table.Verdict(k, at(2*time.Second)), "a server that restarted under the same name counts again")
 }
 
-// A storm of other requests takes bounded memory and does not drive out what is quarantined.
+// A flood of other requests uses a bounded amount of memory and does not evict quarantined
+// requests.
 func TestMemoryIsBounded(t *testing.T) {
-	table, k := suspect()
+	table, k := tableWithSuspect()
 	table.Admit(k, at(time.Second))
 	table.RecordTrial(k, LeafEnded, at(time.Second))
-	for n := range 3 * recordsMost {
+	for n := range 3 * maxRecords {
 		now := at(time.Second + time.Duration(n)*time.Millisecond/2)
 		table.RecordLeafEnd(key(n+1), "r", "a", "s", now, now)
 		table.Merge(Report{Key: key(-n - 10), EndIDs: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}, now)
 	}
-	require.LessOrEqual(t, len(table.records), recordsMost)
-	require.LessOrEqual(t, len(table.told), pendingMost)
-	require.Equal(t, Quarantined, table.Verdict(k, at(10*time.Second)), "one that ended a leaf in a trial stays")
+	require.LessOrEqual(t, len(table.records), maxRecords)
+	require.LessOrEqual(t, len(table.pending), maxPendingReports)
+	require.Equal(t, Quarantined, table.Verdict(k, at(10*time.Second)), "a quarantined request is not evicted")
 	for _, r := range table.records {
-		require.LessOrEqual(t, len(r.ends), evidenceMost)
+		require.LessOrEqual(t, len(r.endIDs), maxEndIDs)
 	}
 	table.Sweep(at(time.Hour))
 	require.Zero(t, len(table.records))
-	require.Zero(t, table.size.Load())
+	require.Zero(t, table.recordCount.Load())
 }
 
-// What two instances saw adds up, and what one of them believes the other believes too.
-func TestInstancesShareWhatTheyKnow(t *testing.T) {
+// The ends that two instances have seen are added up, and the verdict of one instance reaches the
+// other.
+func TestInstancesMergeReports(t *testing.T) {
 	a, b, k := NewTable(), NewTable(), key(0)
 	a.RecordLeafEnd(k, "r1", "x", "s", epoch, epoch)
 	b.RecordLeafEnd(k, "r2", "y", "s", epoch, epoch)
@@ -143,20 +146,21 @@
 		share(a, b, now)
 		share(b, a, now)
 	}
-	require.Empty(t, a.PendingReports(10, at(5*time.Second)), "each change is told a few times only")
+	require.Empty(t, a.PendingReports(10, at(5*time.Second)), "each change is sent a few times only")
 	c := NewTable()
 	for _, n := range a.AntiEntropyReports(10, at(6*time.Second)) {
 		c.Merge(n, at(6*time.Second))
 	}
-	require.Equal(t, 5*time.Second, c.Remaining(k, at(6*time.Second)), "one that has just started")
+	require.Equal(t, 5*time.Second, c.Remaining(k, at(6*time.Second)), "an instance that has just started")
 	require.Equal(t, Suspect, b.Admit(k, at(2*time.Minute)).Verdict)
 	b.RecordTrial(k, Answered, at(2*time.Minute))
 	share(b, a, at(2*time.Minute))
 	require.Equal(t, Sound, a.Verdict(k, at(2*time.Minute)))
 }
 
-// Some takes turns, so that many quarantined requests are all told.
-func TestSomeTakesTurns(t *testing.T) {
+// AntiEntropyReports continues where it stopped, so that all of many quarantined requests are
+// reported.
+func TestAntiEntropyReportsRotate(t *testing.T) {
 	table := NewTable()
 	for n := range 10 {
 		for _, leaf := range []string{"a", "b"} {
@@ -166,32 +170,34 @@
 	table.RecordLeafEnd(key(99), "r", "a", "s", epoch, epoch)
 	seen := map[Key]bool{}
 	for range 3 {
-		notes := table.AntiEntropyReports(4, epoch)
-		require.Len(t, notes, 4)
-		for _, n := range notes {
+		reports := table.AntiEntropyReports(4, epoch)
+		require.Len(t, reports, 4)
+		for _, n := range reports {
 			seen[n.Key] = true
 		}
 	}
-	require.Len(t, seen, 10, "those that are sound are not told of")
+	require.Len(t, seen, 10, "sound requests are not reported")
 }
 
-// What a peer says is bounded: it cannot quarantine for longer than this instance would.
-func TestAbsurdNotesAreBounded(t *testing.T) {
+// Values in a peer's report are bounded: a peer cannot quarantine a request for longer than this
+// instance would.
+func TestReportedValuesAreBounded(t *testing.T) {
 	table := NewTable()
 	table.Merge(Report{Key: key(0), EndIDs: []uint64{1, 2}, RemainingMs: 1<<32 - 1, Trials: 255, Service: string(make([]byte, 1<<16))}, epoch)
 	require.LessOrEqual(t, table.Remaining(key(0), epoch), 24*time.Hour)
-	require.LessOrEqual(t, len(table.records[key(0)].service), serviceMost)
+	require.LessOrEqual(t, len(table.records[key(0)].service), maxServiceBytes)
 	require.False(t, table.Merge(Report{EndIDs: []uint64{1, 2}}, epoch).Changed())
-	require.False(t, table.Merge(Report{Key: key(1), EndIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(), "too old to matter")
+	require.False(t, table.Merge(Report{Key: key(1), EndIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(), "a report that is too old is ignored")
 }
 
-// After a bad release leafs end whatever they run. Each request that comes again would be
-// quarantined for minutes and then a day, and stay so when the release is taken back.
-func TestQuarantineIsShortWhereAllRequestsEndLeafs(t *testing.T) {
+// Guards against long quarantines after a bad release, when leafs end on any request. Each
+// request that arrives again would be quarantined for minutes and then for a day, even after the
+// release has been rolled back.
+func TestQuarantineIsShortIfAllRequestsEndLeafs(t *testing.T) {
 	table := NewTable()
 	now := epoch
 	for round := range 4 {
-		for n := range 3 * manyQuarantined {
+		for n := range 3 * massQuarantineThreshold {
 			for range 2 {
 				table.RecordLeafEnd(key(n), fmt.Sprint(round), fmt.Sprint(n, round), "s", now, now)
 			}
@@ -201,18 +207,18 @@
 		}
 		now = now.Add(11 * time.Second)
 	}
-	free := 0
-	for n := range 3 * manyQuarantined {
+	released := 0
+	for n := range 3 * massQuarantineThreshold {
 		if table.Verdict(key(n), now) != Quarantined {
-			free++
+			released++
 		}
 	}
-	require.GreaterOrEqual(t, free, 2*manyQuarantined, "all but a few are tried again")
+	require.GreaterOrEqual(t, released, 2*massQuarantineThreshold, "most requests may be tried again")
 }
 
-// The operators' bound holds for what is quarantined already, and for what peers say.
-func TestMostIsTheOperators(t *testing.T) {
-	table, k := suspect()
+// The configured maximum applies to requests that are quarantined already and to peers' reports.
+func TestMaxDurationAppliesToExistingAndReportedQuarantines(t *testing.T) {
+	table, k := tableWithSuspect()
 	table.Admit(k, at(time.Second))
 	table.RecordTrial(k, LeafEnded, at(time.Second))
 	table.SetMaxDuration(time.Second, at(2*time.Second))
