--- a/pkg/longpoll/longpoll.go
+++ b/pkg/longpoll/longpoll.go
@@ -1,147 +1,158 @@
-// Package longpoll paces an instance that follows a service by calls which wait for changes: how
-// long a call waits, when it is given up, and how long to pause after it. The package does no I/O;
-// ages and random numbers are arguments.
+// Package longpoll paces an instance that follows a service by long polling: how long a call
+// waits for changes, when it is abandoned, and how long to pause after it. The package does no
+// I/O; ages and random numbers are arguments.
 //
-// A call that waits looks the same whether nothing has changed or the service will never answer it.
-// Its own timeout tells the two apart only after the whole wait. Therefore what is known has an age:
-// the time since the service last answered this instance, or another one that has told it all since.
-// When that age is too high, the open call is given up for a short one that the service answers at
-// once.
+// A waiting call looks the same whether nothing has changed or the service will never answer it.
+// The call's timeout distinguishes the two cases only after the whole wait. The data of an
+// instance therefore has an age: the time since the service last answered this instance, or
+// another one that has since forwarded everything to it. If the age is too high, the open call is
+// abandoned for a short probe call, which the service answers at once.
 package longpoll
 
 import "time"
 
-// Options are the times of a Pacer.
+// Options are the timing parameters of a Pacer.
 type Options struct {
-	// Wait is how long a call waits for a change at most.
+	// Wait is the maximum time that a call waits for a change.
 	Wait time.Duration
-	// ProbeWait is how long a call waits that is to tell at once whether the service answers.
+	// ProbeWait is the wait of a probe call, which finds out at once whether the service answers.
 	ProbeWait time.Duration
-	// CoalesceDelay follows a call that brought changes: those in quick succession come together.
+	// CoalesceDelay is the pause after a call that returned changes, so that changes in quick
+	// succession are fetched together.
 	CoalesceDelay time.Duration
-	// FreshnessInterval is how old what is known may be until the service is to have answered again; zero: as
-	// old as the wait and the timeout of a call allow.
+	// FreshnessInterval is the maximum age of the data at which the service should answer again.
+	// Zero disables the check; the age is then bounded only by the wait and the timeout of a
+	// call.
 	FreshnessInterval time.Duration
-	// FreshnessSlack is how much later than that an answer may come, and Spread bounds a random time on top:
-	// of several instances that hear of each other's answers, few give up their calls.
+	// FreshnessSlack is how much later than that an answer may arrive before the open call is
+	// abandoned. Jitter is the maximum of a random time added to it, so that few of several
+	// instances that learn of each other's answers abandon their calls.
 	FreshnessSlack, Jitter time.Duration
-	// Timeout bounds a call beyond its wait, TimeoutMost one that follows a failed one: a
-	// service that has become slow is to be reached.
+	// Timeout is how long a call may take beyond its wait. RetryTimeout applies instead to a call
+	// that follows a failed one, so that a service that has become slow can still be reached.
 	Timeout, RetryTimeout time.Duration
-	// MinBackoff and RetryMost bound the growing time from one failed call to the next.
+	// MinBackoff and MaxBackoff are the bounds of the exponential backoff between failed calls.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// MaxPropagationDelay is how late a change is known at most, counted from its publication or from the service's
-// return after an outage, whichever is later, with one call unanswered at any moment. answer is how
-// long the service takes for an answer.
+// MaxPropagationDelay returns the maximum delay until an instance learns of a change. It is
+// counted from the publication of the change or from the service's return after an outage,
+// whichever is later, and assumes at most one unanswered call at any moment. answer is the time
+// that the service takes to answer.
 func (o Options) MaxPropagationDelay(answer time.Duration) time.Duration {
-	stale := o.Wait + o.Timeout + o.MinBackoff
+	staleCall := o.Wait + o.Timeout + o.MinBackoff
 	if o.FreshnessInterval > 0 {
-		stale = max(o.FreshnessInterval, o.CoalesceDelay) + o.FreshnessSlack + o.Jitter
+		staleCall = max(o.FreshnessInterval, o.CoalesceDelay) + o.FreshnessSlack + o.Jitter
 	}
-	// The call that was made just before the service came back.
-	hung := o.ProbeWait + o.RetryTimeout + o.MinBackoff
-	return max(stale, hung, o.MaxBackoff) + answer
+	// hungCall covers a call that was made just before the service returned.
+	hungCall := o.ProbeWait + o.RetryTimeout + o.MinBackoff
+	return max(staleCall, hungCall, o.MaxBackoff) + answer
 }
 
-// Call is how the next call is made.
+// Call describes the next call.
 type Call struct {
-	// Wait is how long it waits for a change, Timeout bounds it beyond that.
+	// Wait is how long the call waits for a change. Timeout is how long it may take beyond that.
 	Wait, Timeout time.Duration
-	// MaxAge is the age of what is known at which it is given up; zero: at none.
+	// MaxAge is the age of the data at which the call is abandoned; zero means never.
 	MaxAge time.Duration
 }
 
 // Pacer paces the calls of one instance. It is not safe for concurrent use.
 type Pacer struct {
 	opts Options
-	// random returns a number of [0, 1).
+	// random returns a random number in [0, 1).
 	random func() float64
-	// look: the next call is to tell at once whether the service answers.
-	look bool
-	// inStep: others may have been woken at the same moment. bunched: a gap was left between the
-	// answers of all, because some come at about the same time.
-	inStep, bunched bool
-	failed          int
-	retry           time.Duration
+	// probeNext means that the next call is a probe call.
+	probeNext bool
+	// synchronized means that the instances may call in step, because a change or the end of an
+	// outage has woken them at the same moment. bunched means that the last answer came from a
+	// probe call although no call had failed: the answers to the instances are unevenly spread,
+	// and the gap between two of them was too long.
+	synchronized, bunched bool
+	// failures is the number of calls that have failed in a row, backoff the current backoff.
+	failures int
+	backoff  time.Duration
 }
 
 // New returns the pacer of an instance that has made no call yet.
 func New(opts Options, random func() float64) *Pacer { return &Pacer{opts: opts, random: random} }
 
-// PeerGroup is what an instance knows of the others that follow the service too.
+// PeerGroup describes the other instances that follow the same service, as far as an instance
+// knows them.
 type PeerGroup struct {
-	// Reporting is how many of them tell this one when the service has answered them.
+	// Reporting is the number of peers that tell this instance when the service has answered
+	// them.
 	Reporting int
-	// RelativeRank is this one's place among all of them, greater than 0 and at most 1.
+	// RelativeRank is the rank of this instance among all of them, divided by their number:
+	// greater than 0 and at most 1.
 	RelativeRank float64
 }
 
-// NextCall is how the next call is made, given the age of what is known.
+// NextCall returns how the next call is made, given the age of the data.
 //
-// The more others there are, the longer a call may wait: each answer proves what is known to all.
-// One change wakes all of them; the wait after it goes by the place of each, so that they do not go
-// on in step and lose all their calls to the same moment.
+// The more peers report their answers, the longer a call may wait, because each answer refreshes
+// the data of all. A change wakes all instances at once. The wait after it is scaled by each
+// instance's rank; otherwise they would stay in step, and all their calls could be lost at the
+// same moment.
 func (p *Pacer) NextCall(age time.Duration, group PeerGroup) Call {
 	o := p.opts
 	wait := o.Wait
 	if o.FreshnessInterval > 0 {
 		wait = min(wait, time.Duration(1+group.Reporting)*o.FreshnessInterval-age)
 	}
-	if p.look || wait <= o.ProbeWait || (o.FreshnessInterval > 0 && age >= o.FreshnessInterval+o.FreshnessSlack) {
+	if p.probeNext || wait <= o.ProbeWait || (o.FreshnessInterval > 0 && age >= o.FreshnessInterval+o.FreshnessSlack) {
 		return Call{Wait: o.ProbeWait, Timeout: p.timeout()}
 	}
 	switch {
-	case p.inStep:
+	case p.synchronized:
 		wait = o.ProbeWait + time.Duration(group.RelativeRank*float64(wait-o.ProbeWait))
 	case p.bunched:
 		wait -= min(wait, o.FreshnessInterval) / 2
 	}
-	p.inStep, p.bunched = false, false
+	p.synchronized, p.bunched = false, false
 	c := Call{Wait: wait, Timeout: p.timeout()}
 	if o.FreshnessInterval > 0 {
-		c.MaxAge = o.FreshnessInterval + o.FreshnessSlack + p.part(o.Jitter)
+		c.MaxAge = o.FreshnessInterval + o.FreshnessSlack + p.randomFraction(o.Jitter)
 	}
 	return c
 }
 
-// timeout bounds the next call beyond its wait.
+// timeout returns how long the next call may take beyond its wait.
 func (p *Pacer) timeout() time.Duration {
-	if p.failed > 0 {
+	if p.failures > 0 {
 		return p.opts.RetryTimeout
 	}
 	return p.opts.Timeout
 }
 
-// part is a random part of a time.
-func (p *Pacer) part(of time.Duration) time.Duration {
+// randomFraction returns a random fraction of a duration.
+func (p *Pacer) randomFraction(of time.Duration) time.Duration {
 	return time.Duration(p.random() * float64(of))
 }
 
-// RecordAnswer notes a call that was answered, with changes or without, and returns how long to pause.
-// more: there are changes left that did not fit into the answer.
+// RecordAnswer records an answered call, with or without changes, and returns how long to pause.
+// more means that there are further changes, which did not fit into the answer.
 func (p *Pacer) RecordAnswer(changes, more bool) time.Duration {
-	p.bunched = p.look && p.failed == 0
-	p.inStep = p.inStep || p.failed > 0 || changes
-	p.look, p.failed, p.retry = false, 0, 0
+	p.bunched = p.probeNext && p.failures == 0
+	p.synchronized = p.synchronized || p.failures > 0 || changes
+	p.probeNext, p.failures, p.backoff = false, 0, 0
 	if !changes || more {
 		return 0
 	}
 	return p.opts.CoalesceDelay
 }
 
-// RecordAbandoned notes a call that was given up because what is known had become too old.
-func (p *Pacer) RecordAbandoned() { p.look = true }
+// RecordAbandoned records a call that was abandoned because the data had become too old.
+func (p *Pacer) RecordAbandoned() { p.probeNext = true }
 
-// RecordFailure notes a call that failed after some time and returns how long to pause.
+// RecordFailure records a call that failed after the time took, and returns how long to pause.
 func (p *Pacer) RecordFailure(took time.Duration) time.Duration {
-	p.look = true
-	p.failed++
-	p.retry = min(max(2*p.retry, p.opts.MinBackoff), p.opts.MaxBackoff)
-	pause := max(p.retry-took, p.opts.MinBackoff)
-	return pause/2 + p.part(pause/2)
+	p.probeNext = true
+	p.failures++
+	p.backoff = min(max(2*p.backoff, p.opts.MinBackoff), p.opts.MaxBackoff)
+	pause := max(p.backoff-took, p.opts.MinBackoff)
+	return pause/2 + p.randomFraction(pause/2)
 }
 
-// ConsecutiveFailures is how many calls have failed in a row.
-func (p *Pacer) ConsecutiveFailures() int { return p.failed }
+// ConsecutiveFailures returns the number of calls that have failed in a row.
+func (p *Pacer) ConsecutiveFailures() int { return p.failures }
