--- a/pkg/merge/merge.go
+++ b/pkg/merge/merge.go
@@ -1,4 +1,4 @@
-// Package merge joins the parts of a query over many shards into one answer.
+// Package merge combines the shards' replies to a query into one answer.
 package merge
 
 import (
@@ -7,28 +7,28 @@
 	"slices"
 )
 
-// Greatest returns the greatest k records of all bodies, greatest first,
-// compared byte by byte. Records have a fixed size in bytes; a shorter rest at
-// the end of a body is no record. Equal records all count.
+// Greatest returns the greatest k records of all bodies in descending order. Records are compared
+// byte by byte and have a fixed size in bytes; a shorter remainder at the end of a body is
+// ignored. Equal records are all included.
 func Greatest(bodies [][]byte, size, k int) []byte {
 	if k <= 0 || size <= 0 {
 		return nil
 	}
-	least := make(records, 0, k)
+	top := make(recordHeap, 0, k)
 	for _, body := range bodies {
 		for ; len(body) >= size; body = body[size:] {
-			least.offer(body[:size], k)
+			top.offer(body[:size], k)
 		}
 	}
-	slices.SortFunc(least, func(a, b []byte) int { return bytes.Compare(b, a) })
-	return bytes.Join(least, nil)
+	slices.SortFunc(top, func(a, b []byte) int { return bytes.Compare(b, a) })
+	return bytes.Join(top, nil)
 }
 
-// records is a heap with the least record first.
-type records [][]byte
+// recordHeap is a heap with the smallest record first.
+type recordHeap [][]byte
 
-// offer keeps record if it is among the greatest k so far.
-func (r *records) offer(record []byte, k int) {
+// offer adds record if it is among the greatest k records so far.
+func (r *recordHeap) offer(record []byte, k int) {
 	if len(*r) < k {
 		heap.Push(r, record)
 		return
@@ -40,19 +40,19 @@
 }
 
 // Len implements heap.Interface.
-func (r records) Len() int { return len(r) }
+func (r recordHeap) Len() int { return len(r) }
 
 // Less implements heap.Interface.
-func (r records) Less(i, j int) bool { return bytes.Compare(r[i], r[j]) < 0 }
+func (r recordHeap) Less(i, j int) bool { return bytes.Compare(r[i], r[j]) < 0 }
 
 // Swap implements heap.Interface.
-func (r records) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
+func (r recordHeap) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
 
 // Push implements heap.Interface.
-func (r *records) Push(x any) { *r = append(*r, x.([]byte)) }
+func (r *recordHeap) Push(x any) { *r = append(*r, x.([]byte)) }
 
 // Pop implements heap.Interface.
-func (r *records) Pop() any {
+func (r *recordHeap) Pop() any {
 	old := *r
 	last := old[len(old)-1]
 	*r = old[:len(old)-1]
--- a/pkg/merge/merge_test.go
+++ b/pkg/merge/merge_test.go
@@ -17,13 +17,13 @@
 		k      int
 		want   string
 	}{
-		"falling":                {[]string{"bbaa", "cc"}, 3, "ccbbaa"},
-		"only k":                 {[]string{"bbaa", "ccdd"}, 2, "ddcc"},
-		"equal records count":    {[]string{"aa", "aa"}, 3, "aaaa"},
-		"a rest is no record":    {[]string{"aaz", "z"}, 3, "aa"},
-		"nothing":                {nil, 3, ""},
-		"no records wanted":      {[]string{"aa"}, 0, ""},
-		"bytes compare unsigned": {[]string{"\x7f\x00\xff\x00"}, 2, "\xff\x00\x7f\x00"},
+		"descending order":               {[]string{"bbaa", "cc"}, 3, "ccbbaa"},
+		"only k":                         {[]string{"bbaa", "ccdd"}, 2, "ddcc"},
+		"equal records are all included": {[]string{"aa", "aa"}, 3, "aaaa"},
+		"a remainder is ignored":         {[]string{"aaz", "z"}, 3, "aa"},
+		"no bodies":                      {nil, 3, ""},
+		"k is zero":                      {[]string{"aa"}, 0, ""},
+		"bytes compare unsigned":         {[]string{"\x7f\x00\xff\x00"}, 2, "\xff\x00\x7f\x00"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var bodies [][]byte
@@ -35,7 +35,7 @@
 	}
 }
 
-// FuzzGreatest compares the heap with sorting everything.
+// FuzzGreatest compares the result with that of sorting all records.
 func FuzzGreatest(f *testing.F) {
 	inputs := rand.New(rand.NewPCG(5, 6))
 	f.Add([]byte("abcdefgh"), uint64(3), 4)
