--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -141,7 +141,7 @@
 	placement replica.Placement
 }
 
-// lateShards returns the shards whose reply is expected after the answer is given, latest first.
+// lateShards returns the shards whose reply is expected too late for the answer, latest first.
 func (q *Query) lateShards(placements []shardPlacement, now time.Time) []shardPlacement {
 	if !q.hasTarget() {
 		return nil
--- a/pkg/fanout/cold_test.go
+++ b/pkg/fanout/cold_test.go
@@ -68,12 +68,12 @@
 	q := New(c.table, c.route, Options{HedgeTypicalFactor: 3, MinHedgeDelay: 5 * time.Millisecond}, Params{Start: c.now, Deadline: end})
 	var pending []pendingReply
 	send := func(requests []Request) {
-		for _, s := range requests {
+		for _, request := range requests {
 			took := warmServiceTime + c.stall()
-			if s.Call.Leaf.ID == "a1" {
+			if request.Call.Leaf.ID == "a1" {
 				took = coldServiceTime
 			}
-			pending = append(pending, pendingReply{request: s, at: c.now.Add(took)})
+			pending = append(pending, pendingReply{request: request, at: c.now.Add(took)})
 		}
 	}
 	requests, _ := q.Start(c.now)
@@ -91,15 +91,15 @@
 			send(q.Tick(c.now))
 			continue
 		}
-		a := pending[next]
+		reply := pending[next]
 		pending = append(pending[:next], pending[next+1:]...)
-		c.now = a.at
-		if q.ShardStatus(a.request.Shard) == Covered {
+		c.now = reply.at
+		if q.ShardStatus(reply.request.Shard) == Covered {
 			continue
 		}
-		c.table.End(a.request.Call, replica.Answered, c.now)
-		send(q.HandleReply(a.request.Shard, a.request.Attempt, replica.Answered, c.now))
-		pending = c.abandonOpenRequests(pending, a.request.Shard)
+		c.table.End(reply.request.Call, replica.Answered, c.now)
+		send(q.HandleReply(reply.request.Shard, reply.request.Attempt, replica.Answered, c.now))
+		pending = c.abandonOpenRequests(pending, reply.request.Shard)
 	}
 	for _, a := range pending {
 		c.table.End(a.request.Call, replica.Abandoned, c.now)
--- a/pkg/fanout/late.go
+++ b/pkg/fanout/late.go
@@ -24,8 +24,8 @@
 // release starts a held query if the leafs have capacity, and ends it if it has waited too long.
 //
 // Each check needs a placement of every shard. All held queries of a route therefore share one
-// check every few milliseconds: if each of a hundred made its own, they would saturate a small
-// processor.
+// check every few milliseconds: if each of a hundred made its own, they would saturate the CPU of
+// a small machine.
 func (q *Query) release(now time.Time) []Request {
 	if !now.Before(q.heldUntil) || q.table.HoldInVain(q.route.Name, q.heldSince, now) {
 		q.holdFailed = true
--- a/pkg/fanout/replay_test.go
+++ b/pkg/fanout/replay_test.go
@@ -205,13 +205,13 @@
 
 // send delivers requests to their leafs after the network delay.
 func (r *replay) send(run *simQuery, requests []Request) {
-	for _, s := range requests {
-		if s.Reason != ReasonFirst {
+	for _, request := range requests {
+		if request.Reason != ReasonFirst {
 			r.result.secondRequests++
 		}
 		work := r.load.serviceTimeMs * math.Exp(0.35*r.rng.NormFloat64())
-		job := &simJob{run: run, request: s, serviceTimeMs: work, deadline: s.Deadline.Sub(epoch)}
-		r.after(ms(networkDelayMs), func() { r.arriveAtLeaf(r.leafs[s.Call.Leaf.ID], job) })
+		job := &simJob{run: run, request: request, serviceTimeMs: work, deadline: request.Deadline.Sub(epoch)}
+		r.after(ms(networkDelayMs), func() { r.arriveAtLeaf(r.leafs[request.Call.Leaf.ID], job) })
 	}
 }
 
@@ -502,7 +502,7 @@
 // shard has a healthy leaf. Each of sixty instances gets a query every two seconds. The near
 // leafs of a third of the shards become eight times slower, so that they answer nothing within a
 // deadline. The cause was that an instance forgot between two queries which leafs are slow, and
-// took their timeout replies for chance; it asked them first again and used up its second
+// attributed their timeout replies to chance; it asked them first again and used up its second
 // requests.
 func TestReplaySlowLeafsWithManyInstances(t *testing.T) {
 	load := busyLoad()
--- a/pkg/fanout/trial.go
+++ b/pkg/fanout/trial.go
@@ -8,8 +8,8 @@
 
 // This file handles queries that crash the leafs running them.
 //
-// With its first requests, such a query ends one leaf of every shard, and with its second
-// requests the others; the index is then unavailable for seconds. Harmless queries that were
+// Such a query crashes one leaf of every shard with its first requests, and the other leafs with
+// its second requests; the index is then unavailable for seconds. Harmless queries that were
 // merely in flight at the same leafs are distinguished from it by a leaf that answers them.
 
 // maxLeafsEnded is the number of ended leafs at which a query that no leaf has answered is given
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -23,9 +23,9 @@
 func (v Verdict) String() string { return [...]string{"sound", "suspect", "quarantined"}[v] }
 
 const (
-	// suspectThreshold is the number of leafs that must have ended with a request before it is
-	// tried at a single leaf. A single end may have another cause. A request that needs one leaf
-	// only is sent to a second one after it, as after any failure.
+	// suspectThreshold is the number of leafs that must have ended while they had a request
+	// before that request is tried at a single leaf. A single end may have another cause: after
+	// it, a request that needs only one leaf is sent to a second one, as after any failure.
 	suspectThreshold = 2
 	// recordTTL is how long a suspected request is remembered after the last event concerning it.
 	recordTTL = 10 * time.Minute
