--- a/pkg/longpoll/longpoll.go
+++ b/pkg/longpoll/longpoll.go
@@ -100,7 +100,8 @@
 	if o.FreshnessInterval > 0 {
 		wait = min(wait, time.Duration(1+group.Reporting)*o.FreshnessInterval-age)
 	}
-	if p.probeNext || wait <= o.ProbeWait || (o.FreshnessInterval > 0 && age >= o.FreshnessInterval+o.FreshnessSlack) {
+	if p.probeNext || wait <= o.ProbeWait ||
+		(o.FreshnessInterval > 0 && age >= o.FreshnessInterval+o.FreshnessSlack) {
 		return Call{Wait: o.ProbeWait, Timeout: p.timeout()}
 	}
 	switch {
--- a/pkg/longpoll/longpoll_test.go
+++ b/pkg/longpoll/longpoll_test.go
@@ -11,7 +11,8 @@
 
 func testOptions() Options {
 	return Options{
-		Wait: 2400 * ms, ProbeWait: ms, CoalesceDelay: 1000 * ms, FreshnessInterval: 1000 * ms, FreshnessSlack: 400 * ms, Jitter: 200 * ms,
+		Wait: 2400 * ms, ProbeWait: ms, CoalesceDelay: 1000 * ms,
+		FreshnessInterval: 1000 * ms, FreshnessSlack: 400 * ms, Jitter: 200 * ms,
 		Timeout: 700 * ms, RetryTimeout: 1500 * ms, MinBackoff: 150 * ms, MaxBackoff: 1000 * ms,
 	}
 }
@@ -84,12 +85,14 @@
 	p.RecordAnswer(false, false)
 	require.Zero(t, p.ConsecutiveFailures())
 	require.Equal(t, 150*ms, p.RecordFailure(0))
-	require.Equal(t, 75*ms, New(testOptions(), constantRandom(0)).RecordFailure(0), "pauses vary so that instances do not retry at the same moment")
+	require.Equal(t, 75*ms, New(testOptions(), constantRandom(0)).RecordFailure(0),
+		"pauses vary so that instances do not retry at the same moment")
 }
 
 func TestMaxPropagationDelayIsTheWorstCase(t *testing.T) {
 	o := testOptions()
-	require.Equal(t, (1+1500+150+300)*ms, o.MaxPropagationDelay(300*ms), "a call that was made just before the service returned")
+	require.Equal(t, (1+1500+150+300)*ms, o.MaxPropagationDelay(300*ms),
+		"a call that was made just before the service returned")
 	o.RetryTimeout = 1000 * ms
 	require.Equal(t, (1000+400+200+300)*ms, o.MaxPropagationDelay(300*ms), "a call that is never answered")
 	o.FreshnessInterval = 0
--- a/pkg/quarantine/fleetsim_test.go
+++ b/pkg/quarantine/fleetsim_test.go
@@ -261,10 +261,14 @@
 	for seed := range uint64(300) {
 		s := newSim(t, seed)
 		s.run()
-		require.LessOrEqual(t, s.lateRetries, 3, "seed %d: retries with %d instances; %d leafs ended", seed, len(s.tables), s.leafsEnded)
-		require.Greater(t, s.served, 3*s.refused, "seed %d: the harmless request is served all day except during one quarantine", seed)
-		served, refused, ended, maxRetries = served+s.served, refused+s.refused, ended+s.leafsEnded, max(maxRetries, s.lateRetries)
+		require.LessOrEqual(t, s.lateRetries, 3,
+			"seed %d: retries with %d instances; %d leafs ended", seed, len(s.tables), s.leafsEnded)
+		require.Greater(t, s.served, 3*s.refused,
+			"seed %d: the harmless request is served all day except during one quarantine", seed)
+		served, refused, ended, maxRetries =
+			served+s.served, refused+s.refused, ended+s.leafsEnded, max(maxRetries, s.lateRetries)
 	}
 	require.Less(t, 100*refused, served, "over all days, less than one in a hundred harmless requests is refused")
-	t.Logf("harmless requests: %d served, %d refused; %d leafs ended in 300 days, at most %d retries", served, refused, ended, maxRetries)
+	t.Logf("harmless requests: %d served, %d refused; %d leafs ended in 300 days, at most %d retries",
+		served, refused, ended, maxRetries)
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -207,7 +207,8 @@
 		r.quarantinedUntil = now.Add(min(t.quarantineDuration(r, now), t.maxDuration))
 		r.trials++
 	case Unresolved:
-		r.quarantinedUntil = now.Add(min(minUnresolvedBackoff<<min(r.unresolved, 16), maxUnresolvedBackoff, t.maxDuration))
+		r.quarantinedUntil = now.Add(min(
+			minUnresolvedBackoff<<min(r.unresolved, 16), maxUnresolvedBackoff, t.maxDuration))
 		r.unresolved++
 	}
 	t.queueReport(k, false, now)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -100,7 +100,8 @@
 	}
 	require.Equal(t, Sound, table.Verdict(k, at(time.Second)))
 	table.RecordLeafEnd(k, "r4", "a", "s", at(time.Second), at(1010*time.Millisecond))
-	require.Equal(t, Suspect, table.Verdict(k, at(2*time.Second)), "a server that restarted under the same name counts again")
+	require.Equal(t, Suspect, table.Verdict(k, at(2*time.Second)),
+		"a server that restarted under the same name counts again")
 }
 
 // A flood of other requests uses a bounded amount of memory and does not evict quarantined
@@ -183,11 +184,13 @@
 // instance would.
 func TestReportedValuesAreBounded(t *testing.T) {
 	table := NewTable()
-	table.Merge(Report{Key: key(0), EndIDs: []uint64{1, 2}, RemainingMs: 1<<32 - 1, Trials: 255, Service: string(make([]byte, 1<<16))}, epoch)
+	table.Merge(Report{Key: key(0), EndIDs: []uint64{1, 2}, RemainingMs: 1<<32 - 1, Trials: 255,
+		Service: string(make([]byte, 1<<16))}, epoch)
 	require.LessOrEqual(t, table.Remaining(key(0), epoch), 24*time.Hour)
 	require.LessOrEqual(t, len(table.records[key(0)].service), maxServiceBytes)
 	require.False(t, table.Merge(Report{EndIDs: []uint64{1, 2}}, epoch).Changed())
-	require.False(t, table.Merge(Report{Key: key(1), EndIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(), "a report that is too old is ignored")
+	require.False(t, table.Merge(Report{Key: key(1), EndIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(),
+		"a report that is too old is ignored")
 }
 
 // Guards against long quarantines after a bad release, when leafs end on any request. Each
