--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -8,53 +8,54 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// Batcher sends requests of one query through a peer in the availability zone of their
-// leafs.
+// Batcher sends the requests of a query to leafs of another availability zone through a
+// peer instance in that zone.
 type Batcher interface {
-	// Send reports whether a peer took the batch; if not, nothing was sent. take is
-	// called with replies as they come, each call exactly once in all; the replies of
-	// one call of it belong together. cancel ends the work of a batch.
+	// Send reports whether a peer accepted the batch; if not, nothing was sent. It calls take
+	// with the replies as they arrive, and reports each call of the batch exactly once. The
+	// replies passed in one invocation of take belong together. cancel aborts the batch.
 	Send(b Batch, take func([]BatchReply)) (cancel func(), ok bool)
 }
 
-// Batch are requests of a query to leafs of one zone.
+// Batch is a set of requests of one query to leafs of one availability zone.
 type Batch struct {
 	Request *Request
 	Route   *routing.Route
 	Zone    string
 	Calls   []LeafCall
-	// Deadline is when the leafs should stop working on it.
+	// Deadline is the time after which the leafs should stop working on the requests.
 	Deadline time.Time
-	// FlushAfter is when the first replies are wanted, and Step how long further ones may
-	// be collected.
+	// FlushAfter is the time after which the peer sends the first replies. FlushInterval is
+	// how long it may collect further replies before it sends them.
 	FlushAfter, FlushInterval time.Duration
 }
 
-// BatchReply is what became of one call of a batch.
+// BatchReply is the outcome of one call of a batch.
 //
-// The records of all successes in one call of take are merged into the content of the
-// first: either all of these parts go into the answer, or none.
+// The records of all successes that are passed in one invocation of take are merged into
+// the content of the first one: either all of these parts are used in the answer, or none.
 type BatchReply struct {
-	// Call is the index in Batch.Calls.
+	// Call is the index of the call in Batch.Calls.
 	Call  int
 	Reply LeafReply
-	// Took is how long the leaf took, as the peer measured it.
+	// Took is the reply time of the leaf as measured by the peer.
 	Took time.Duration
 }
 
 const (
-	// flushAtTypical is when the first replies of a batch are wanted, in multiples
-	// of the typical reply time: half are in by then. Later ones save a few bytes and keep
-	// the caller from seeing which leafs are free.
-	flushAtTypical = 1.0
-	// stepAtTypical is how long further replies are collected.
-	stepAtTypical = 0.15
+	// flushDelayFactor is the time after which a peer sends the first replies of a batch, as a
+	// multiple of the typical reply time: half of them have arrived by then. A later flush would
+	// save a few bytes, but this instance would learn later which leafs are free.
+	flushDelayFactor = 1.0
+	// flushIntervalFactor is the same multiple for the interval of further flushes.
+	flushIntervalFactor = 0.15
 )
 
-// throughPeers hands requests to leafs of other zones to peers there, and returns the sends
-// that remain to be sent directly. First requests go together. A second one goes alone:
-// its records must be told from those of the first, whichever comes.
-func (r *gathering) throughPeers(sends []fanout.Send) []fanout.Send {
+// sendThroughPeers sends the requests for leafs of other zones through peers in those zones, and
+// returns the requests that must be sent directly. First requests to a zone share a batch. A
+// second request is sent in a batch of its own: its records must stay distinguishable from those
+// of the first request, whichever reply arrives.
+func (r *gatherRun) sendThroughPeers(sends []fanout.Send) []fanout.Send {
 	if r.g.batcher == nil {
 		return sends
 	}
@@ -79,26 +80,26 @@
 	return direct
 }
 
-// sendBatch reports whether a peer took the requests.
-func (r *gathering) sendBatch(zone string, sends []fanout.Send) bool {
+// sendBatch sends the requests through a peer and reports whether a peer accepted them.
+func (r *gatherRun) sendBatch(zone string, sends []fanout.Send) bool {
 	typical := float64(r.g.table.Typical(r.route.Name))
 	b := Batch{
 		Request: r.req, Route: r.route, Zone: zone, Deadline: sends[0].Deadline,
-		FlushAfter: time.Duration(flushAtTypical * typical), FlushInterval: time.Duration(stepAtTypical * typical),
+		FlushAfter: time.Duration(flushDelayFactor * typical), FlushInterval: time.Duration(flushIntervalFactor * typical),
 	}
 	for _, s := range sends {
-		b.Calls = append(b.Calls, r.call(s))
+		b.Calls = append(b.Calls, r.leafCall(s))
 	}
-	cancel, ok := r.g.batcher.Send(b, func(replies []BatchReply) { r.batchReplied(sends, b.Calls, replies) })
+	cancel, ok := r.g.batcher.Send(b, func(replies []BatchReply) { r.handleBatchReplies(sends, b.Calls, replies) })
 	if ok {
-		r.cancels = append(r.cancels, cancel)
+		r.cancelBatches = append(r.cancelBatches, cancel)
 	}
 	return ok
 }
 
-// batchReplied takes over replies that belong together.
-func (r *gathering) batchReplied(sends []fanout.Send, calls []LeafCall, replies []BatchReply) {
-	group := make([]arrival, 0, len(replies))
+// handleBatchReplies records the outcomes of replies that belong together and passes them on.
+func (r *gatherRun) handleBatchReplies(sends []fanout.Send, calls []LeafCall, replies []BatchReply) {
+	group := make([]shardReply, 0, len(replies))
 	now := time.Now()
 	successes := 0
 	for _, reply := range replies {
@@ -112,8 +113,8 @@
 		if reply.Reply.Outcome == replica.PeerLost {
 			took = now.Sub(r.req.Arrived)
 		}
-		r.g.ended(calls[reply.Call], s.Call, reply.Reply, took, now)
-		group = append(group, arrival{shard: s.Shard, attempt: s.Attempt, reply: reply.Reply, merged: successes > 1})
+		r.g.recordLeafCall(calls[reply.Call], s.Call, reply.Reply, took, now)
+		group = append(group, shardReply{shard: s.Shard, attempt: s.Attempt, reply: reply.Reply, merged: successes > 1})
 	}
 	r.replies <- group
 }
--- a/pkg/gateway/batches_test.go
+++ b/pkg/gateway/batches_test.go
@@ -13,20 +13,20 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// scriptedBatcher hands batches to a function.
+// scriptedBatcher passes batches to a function.
 type scriptedBatcher struct {
-	send    func(b Batch, take func([]BatchReply)) bool
-	batches atomic.Int64
-	ended   atomic.Int64
+	send      func(b Batch, take func([]BatchReply)) bool
+	batches   atomic.Int64
+	cancelled atomic.Int64
 }
 
 func (s *scriptedBatcher) Send(b Batch, take func([]BatchReply)) (func(), bool) {
 	s.batches.Add(1)
-	return func() { s.ended.Add(1) }, s.send(b, take)
+	return func() { s.cancelled.Add(1) }, s.send(b, take)
 }
 
-// merged answers all calls of a batch together.
-func merged(b Batch, take func([]BatchReply)) {
+// replyMerged replies to all calls of a batch in one group.
+func replyMerged(b Batch, take func([]BatchReply)) {
 	var group []BatchReply
 	for i := range b.Calls {
 		content := fmt.Sprint("merged ", i)
@@ -35,34 +35,35 @@
 	take(group)
 }
 
-// The first requests to another zone go as one batch; what no peer takes goes directly.
+// The first requests to another zone are sent as one batch; requests that no peer accepts are
+// sent directly.
 func TestFirstRequestsAreBatched(t *testing.T) {
-	for _, taken := range []bool{true, false} {
+	for _, accepted := range []bool{true, false} {
 		g := newGateway(t, 4, answered)
 		batcher := &scriptedBatcher{send: func(b Batch, take func([]BatchReply)) bool {
 			require.Equal(t, "z", b.Zone)
 			require.Len(t, b.Calls, 4)
-			if taken {
-				merged(b, take)
+			if accepted {
+				replyMerged(b, take)
 			}
-			return taken
+			return accepted
 		}}
 		g.UseBatcher(batcher, "elsewhere")
 		a := ask(g, "/all/x")
 		require.Equal(t, errcode.OK, a.Code)
 		require.Zero(t, a.Missing())
 		require.EqualValues(t, 1, batcher.batches.Load())
-		require.Equal(t, taken, a.Shards[0].Reply.Content == "merged 0")
+		require.Equal(t, accepted, a.Shards[0].Reply.Content == "merged 0")
 		g.UseBatcher(batcher, "z")
 		ask(g, "/all/x")
-		require.EqualValues(t, 1, batcher.batches.Load(), "leafs of the own zone are asked directly")
+		require.EqualValues(t, 1, batcher.batches.Load(), "leafs of the own zone are called directly")
 	}
 }
 
-// Symptom: an answer whose records are not those of the parts that it names. Sequence: a
-// peer is slow; a shard's second request, sent alone, is answered first; then the peer's
-// merged records come, with that shard's part among them. Cause: the first reply was kept
-// beside records that hold the other one.
+// Guards against an answer whose records do not belong to the parts that it lists. A peer is
+// slow; the second request for a shard, sent in a batch of its own, is answered first; then the
+// peer's merged records arrive and include that shard's part. The first reply was kept next to
+// records that contain the other one.
 func TestMergedRecordsReplaceAnEarlierReply(t *testing.T) {
 	second := make(chan struct{}, 8)
 	g := newGateway(t, 2, answered)
@@ -71,7 +72,7 @@
 		case len(b.Calls) > 1:
 			go func() {
 				<-second
-				merged(b, take)
+				replyMerged(b, take)
 			}()
 		case b.Calls[0].Service == "s0":
 			take([]BatchReply{{Reply: LeafReply{Outcome: replica.Answered, Content: "alone"}}})
@@ -87,8 +88,8 @@
 	}
 }
 
-// A caller that leaves ends its batches.
-func TestLeavingCallerEndsItsBatches(t *testing.T) {
+// A caller that disconnects cancels its batches.
+func TestCallerDisconnectCancelsBatches(t *testing.T) {
 	g := newGateway(t, 2, answered)
 	sent := make(chan struct{})
 	batcher := &scriptedBatcher{send: func(Batch, func([]BatchReply)) bool {
@@ -103,5 +104,5 @@
 	}()
 	a := g.Handle(ctx, &Request{ID: "r", Host: "h", Path: "/all/x", Arrived: time.Now(), Timeout: time.Minute})
 	require.Equal(t, errcode.CallerDisconnected, a.Code)
-	require.EqualValues(t, 1, batcher.ended.Load())
+	require.EqualValues(t, 1, batcher.cancelled.Load())
 }
--- a/pkg/gateway/config.go
+++ b/pkg/gateway/config.go
@@ -8,10 +8,10 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// SetConfig puts a configuration in force unless it is older than the one in
-// force. Requests under way keep the version that they started with.
+// SetConfig applies a configuration unless its version is not newer than the current one, and
+// reports whether it did. Requests in flight keep the version that they started with.
 func (g *Gateway) SetConfig(c *routing.Config) bool {
-	if was := g.config.Load(); was != nil && c.Version <= was.Version {
+	if current := g.config.Load(); current != nil && c.Version <= current.Version {
 		return false
 	}
 	limits := make(map[string]int, len(c.Services))
@@ -24,8 +24,8 @@
 	}
 	g.table.SetMaxConns(limits)
 	g.table.SetColdLimits(cold)
-	g.table.SetHomes(homes(c))
-	g.table.SetShards(onlyShards(c))
+	g.table.SetHomes(routeRegions(c))
+	g.table.SetShards(shardOnlyServices(c))
 	g.splitter.Reset()
 	if g.config.Swap(c) == nil {
 		close(g.configured)
@@ -33,14 +33,15 @@
 	return true
 }
 
-// coldLimit is what a cold leaf of a service may get from all instances together.
+// coldLimit returns the request rate that all instances together may send to a cold leaf of a
+// service.
 func (g *Gateway) coldLimit(s routing.Service) replica.ColdLimit {
 	opts := g.opts.Load()
 	return replica.ColdLimit{PerSecond: s.ColdPerSecond*opts.ColdFactor + opts.ColdSlack, For: s.ColdFor}
 }
 
-// homes are the regions to which the routes of a configuration are confined, by the route's name.
-func homes(c *routing.Config) map[string][]string {
+// routeRegions returns the regions to which routes are restricted, by route name.
+func routeRegions(c *routing.Config) map[string][]string {
 	out := make(map[string][]string)
 	c.Routes(func(r *routing.Route) bool {
 		if len(r.Homes) > 0 {
@@ -51,9 +52,9 @@
 	return out
 }
 
-// onlyShards are the services of a configuration that are asked as shards of queries and
-// not alone.
-func onlyShards(c *routing.Config) map[string]bool {
+// shardOnlyServices returns the services that are requested only as shards of gather queries
+// and never as the target of a single request.
+func shardOnlyServices(c *routing.Config) map[string]bool {
 	out := make(map[string]bool)
 	c.Routes(func(r *routing.Route) bool {
 		for _, name := range r.Shards {
@@ -70,19 +71,18 @@
 	return out
 }
 
-// firstConfigWait is how long a request waits for the first configuration. A
-// process that starts reads it within about 50 ms; refusing meanwhile would
-// send callers away for longer than that. With the store away, a request is
-// refused after this time.
-const firstConfigWait = 200 * time.Millisecond
+// firstConfigTimeout is how long a request waits for the first configuration. A starting
+// process reads it within about 50 ms; refusing requests meanwhile would keep callers away for
+// longer than that. When the store is unavailable, requests are refused after this time.
+const firstConfigTimeout = 200 * time.Millisecond
 
-// awaitConfig returns the configuration in force, waiting a little for the
-// first one.
+// awaitConfig returns the current configuration and waits up to firstConfigTimeout for the
+// first one. It returns nil if there is none by then.
 func (g *Gateway) awaitConfig(ctx context.Context) *routing.Config {
 	if c := g.config.Load(); c != nil {
 		return c
 	}
-	timer := time.NewTimer(firstConfigWait)
+	timer := time.NewTimer(firstConfigTimeout)
 	defer timer.Stop()
 	select {
 	case <-g.configured:
--- a/pkg/gateway/evacuation.go
+++ b/pkg/gateway/evacuation.go
@@ -7,18 +7,19 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// evacuations are the zones that were evacuated and still have requests in flight.
+// evacuations tracks the evacuated zones that still have requests in flight.
 type evacuations struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// since is when the evacuation of a zone was applied, by zone name.
 	since map[string]time.Time
 }
 
-// SetEvacuated takes over whether the operator evacuates an availability zone. Requests that are
-// under way there are finished.
+// SetEvacuated applies the operator's decision whether an availability zone is evacuated.
+// Requests in flight in the zone are completed.
 func (g *Gateway) SetEvacuated(zone string, evacuated bool) {
 	now := time.Now()
-	news, inFlight := g.table.SetEvacuated(zone, evacuated, now)
-	if !news {
+	changed, inFlight := g.table.SetEvacuated(zone, evacuated, now)
+	if !changed {
 		return
 	}
 	g.evacuations.mu.Lock()
@@ -32,7 +33,7 @@
 	g.log.State("zone_evacuated", oplog.Fields{"evacuated_zone": zone, "in_flight": inFlight})
 }
 
-// ReadmitExcept takes back the evacuated zones for which a condition does not hold.
+// ReadmitExcept readmits all evacuated zones for which evacuated returns false.
 func (g *Gateway) ReadmitExcept(evacuated func(zone string) bool) {
 	for _, zone := range g.table.Evacuated() {
 		if !evacuated(zone) {
@@ -41,8 +42,8 @@
 	}
 }
 
-// noticeEmptied notes the evacuated zones in which no request is in flight any more.
-func (g *Gateway) noticeEmptied(now time.Time) {
+// recordEmptiedZones logs the evacuated zones in which no request is in flight any more.
+func (g *Gateway) recordEmptiedZones(now time.Time) {
 	g.evacuations.mu.Lock()
 	defer g.evacuations.mu.Unlock()
 	for zone, since := range g.evacuations.since {
@@ -50,7 +51,7 @@
 			continue
 		}
 		delete(g.evacuations.since, zone)
-		g.stats.emptied(now.Sub(since))
+		g.stats.zoneEmptied(now.Sub(since))
 		g.log.State("zone_emptied", oplog.Fields{"evacuated_zone": zone, "after_ms": now.Sub(since).Milliseconds()})
 	}
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway runs requests: it matches a route, asks the decision
-// packages (routing, replica, fanout) what to do, does the sending and
-// waiting, and returns one typed answer. It knows no header name and no
-// message format; a door translates callers, a Leafs implementation the leafs.
-// Each installation has a door and leafs of its own that belong together.
+// Package gateway runs requests: it matches a route, asks the decision packages (routing,
+// replica, fanout) what to do, sends the requests, waits for the replies and returns one
+// typed answer. It is independent of header names and message formats: a frontend
+// translates callers' messages, and a LeafClient implementation those of the leafs. Each
+// installation has its own pair of frontend and LeafClient.
 package gateway
 
 import (
@@ -21,46 +21,47 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// Content is a message in the terms of one door and the Leafs that belong to
-// it. The gateway hands it from one to the other unread.
+// Content is a message in the format that a frontend shares with its LeafClient. The gateway
+// passes it between the two without reading it.
 type Content any
 
 // Request is one caller's request.
 type Request struct {
-	// ID names the caller's attempt; "" when the caller sent none.
+	// ID identifies the caller's attempt; "" when the caller sent no ID.
 	ID string
-	// Key names what the request asks, which its attempts have in common; zero: unknown.
+	// Key identifies the content of the request and is the same for all attempts; zero: unknown.
 	Key quarantine.Key
-	// Host and Path find the published route; the path is undecoded and
-	// without the query. A door that chooses the route itself sets neither.
+	// Host and Path select the published route; the path is undecoded and without the query.
+	// A frontend that selects the route itself sets neither.
 	Host string
 	Path string
-	// Content is what the door read.
+	// Content is the message that the frontend has read.
 	Content Content
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// NetworkDelay is how long the request and its answer spend between the caller
-	// and this instance. The caller's waiting includes it.
+	// NetworkDelay is the time that the request and its answer together spend between the
+	// caller and this instance. The caller's timeout includes it.
 	NetworkDelay time.Duration
-	// HandoffTimedOut: another instance was asked to run it, and did not take it in time.
+	// HandoffTimedOut reports that the query was handed to another instance which did not
+	// claim it in time, so that this instance runs it.
 	HandoffTimedOut bool
-	// Timeout is how long the caller waits; zero: not said.
+	// Timeout is how long the caller waits for the answer; zero: the caller stated none.
 	Timeout time.Duration
 }
 
-// onTheWayPart bounds the part of a target latency or of a caller's patience that
-// the way may take: beyond it there would be no time to answer, and the round trip
-// may be measured far too long on a congested link.
-const onTheWayPart = 4
+// networkDelayDivisor limits the network delay that is subtracted from a target latency or a
+// caller's timeout to 1/4 of it: beyond that there would be no time left to answer, and the
+// round trip may be measured far too long on a congested link.
+const networkDelayDivisor = 4
 
-// sent is when the caller began to wait for an answer that is worth most within
-// the target latency, less the way that the answer takes back.
-func (r *Request) sent(target time.Duration) time.Time {
-	return r.Arrived.Add(-min(r.NetworkDelay, target/onTheWayPart))
+// latencyStart returns the time from which the target latency is counted: the arrival less the
+// network delay, so that an answer sent within the target also reaches the caller within it.
+func (r *Request) latencyStart(target time.Duration) time.Time {
+	return r.Arrived.Add(-min(r.NetworkDelay, target/networkDelayDivisor))
 }
 
-// about completes the fields of a log line about the request.
-func (r *Request) about(route string, f oplog.Fields) oplog.Fields {
+// logFields adds the fields that identify the request to the fields of a log line.
+func (r *Request) logFields(route string, f oplog.Fields) oplog.Fields {
 	f["request"] = r.ID
 	f["route"] = route
 	if content := r.Key.String(); content != "" {
@@ -72,43 +73,43 @@
 // LeafCall is one request to one leaf.
 type LeafCall struct {
 	Leaf replica.Leaf
-	// Service is which of the leaf's services, or shards, is asked for.
+	// Service is the service, or the shard, that is requested of the leaf.
 	Service string
 	Request *Request
-	// Deadline is when the leaf should stop working on it.
+	// Deadline is the time after which the leaf should stop working on the request.
 	Deadline time.Time
 }
 
-// LeafReply is what became of a LeafCall.
+// LeafReply is the outcome of a LeafCall.
 type LeafReply struct {
 	Outcome replica.Outcome
-	// Status is the leaf's own code, for the log; zero: none was read.
+	// Status is the leaf's own status code, for the log; zero: none was read.
 	Status int
-	// Content is the leaf's reply, where one was read.
+	// Content is the leaf's reply; nil: none was read.
 	Content Content
-	// Err says what went wrong, for the log.
+	// Err is the cause of a failure, for the log.
 	Err error
-	// Load is what the leaf said of itself; nil: nothing. LoadErr says why that could not be
-	// decoded.
+	// Load is the load that the leaf reported with the reply; nil: none. LoadErr is the error
+	// if it could not be decoded.
 	Load    *replica.Load
 	LoadErr error
 }
 
-// ErrNoWorker says that a leaf call was not sent because as many as there may be
-// were in flight.
+// ErrNoWorker reports that a leaf call was not sent because Options.Workers calls were
+// already in flight.
 var ErrNoWorker = errors.New("no free worker for a leaf call")
 
 // LeafClient sends requests to leafs.
 type LeafClient interface {
-	// Do returns when the reply is read, the call failed, or shortly after its
-	// deadline. Cancelling ctx ends the work at the leaf.
+	// Do returns when the reply is read, when the call fails, or shortly after the call's
+	// deadline. Cancelling ctx aborts the work at the leaf.
 	Do(ctx context.Context, call LeafCall) LeafReply
-	// Probe reports whether a leaf answers a health check in time.
+	// Probe reports whether a leaf answers a health check before the given time.
 	Probe(ctx context.Context, leaf replica.Leaf, path string, by time.Time) bool
-	// RemoveLeaf releases what is held for a leaf that left; calls in flight go on.
+	// RemoveLeaf releases the resources of a removed leaf; calls in flight continue.
 	RemoveLeaf(leafID string)
-	// HandleRestart ends the calls in flight at a leaf that has started again, whose
-	// replies cannot come any more, and releases what is held for it.
+	// HandleRestart aborts the calls in flight at a leaf that has restarted, whose replies
+	// can no longer arrive, and releases its resources.
 	HandleRestart(leafID string)
 }
 
@@ -116,31 +117,31 @@
 type Answer struct {
 	// Code is OK for an answer that came from leafs.
 	Code errcode.Code
-	// RetryAfter is when the request is worth sending again; zero: no hint.
+	// RetryAfter is the time after which a retry is worthwhile; zero: no hint.
 	RetryAfter time.Duration
-	// Route is the route that the request took; nil: none.
+	// Route is the route of the request; nil: none matched.
 	Route *routing.Route
-	// Relayed is the single leaf's reply that is passed on as it is.
+	// Relayed is the reply of a single leaf that is passed on unchanged.
 	Relayed *LeafReply
-	// LastFailure is what the last leaf said to a request to one leaf that brought no
-	// reply to pass on; nil: none was asked.
+	// LastFailure is the last leaf's reply to a single request for which there is no
+	// reply to pass on; nil: no leaf was called.
 	LastFailure *LeafReply
-	// Shards are the shards of a query in the route's order; nil where it was
-	// no query.
+	// Shards are the results of a query's shards in the route's order; nil for a request that
+	// is no query.
 	Shards []ShardAnswer
 }
 
-// ShardAnswer is what a query brought of one shard.
+// ShardAnswer is the result of a query for one shard.
 type ShardAnswer struct {
-	// Reply is the shard's part of the answer; nil: it has none.
+	// Reply is the shard's part of the answer; nil: the shard is missing.
 	Reply *LeafReply
-	// MissingReason says why there is no part, and Last what the last leaf that failed
-	// said; nil: none did.
+	// MissingReason is why the shard is missing, and LastFailure the reply of the last leaf
+	// that failed; nil: none failed.
 	MissingReason fanout.Lack
 	LastFailure   *LeafReply
 }
 
-// Missing is how many shards an answer to a query lacks.
+// Missing returns the number of shards that are missing from the answer to a query.
 func (a *Answer) Missing() int {
 	n := 0
 	for i := range a.Shards {
@@ -154,52 +155,51 @@
 // Options are the gateway's settings.
 type Options struct {
 	Fanout fanout.Options
-	// MaxInFlight bounds the requests held at once; more are refused.
+	// MaxInFlight is the maximum number of requests in flight; further ones are refused.
 	MaxInFlight int
-	// Workers bounds the leaf calls in flight.
+	// Workers is the maximum number of leaf calls in flight.
 	Workers int
-	// DefaultTimeout is used for callers that do not say how long they wait.
+	// DefaultTimeout applies to callers that do not state a timeout.
 	DefaultTimeout time.Duration
-	// CancelLosingCalls ends the calls of a shard that another leaf has answered. It
-	// pays where that costs no connection.
+	// CancelLosingCalls cancels the remaining calls of a shard once one leaf has answered.
+	// It is useful where a cancellation does not cost a connection.
 	CancelLosingCalls bool
-	// AnswerMargin is kept back from deadlines to write an answer.
+	// AnswerMargin is subtracted from deadlines as the time to write an answer.
 	AnswerMargin time.Duration
-	// ColdFactor and ColdSlack make the bound of what a cold leaf may get in a second out of what
-	// is published of its service: factor times that, and slack.
+	// ColdFactor and ColdSlack determine the request rate to a cold leaf: the published rate
+	// of its service times ColdFactor, plus ColdSlack requests per second.
 	ColdFactor, ColdSlack float64
-	// RetryAfter is the hint of refusals that know no better.
+	// RetryAfter is the retry hint of refusals without a more specific one.
 	RetryAfter time.Duration
 }
 
 // Gateway runs requests. It is safe for concurrent use.
 type Gateway struct {
-	opts     atomic.Pointer[Options]
-	table    *replica.Table
-	leafs    LeafClient
-	splitter *routing.Splitter
-	pool     *ants.Pool
-	log      *oplog.Log
-	stats    *Stats
-	patience *patienceTable
-	// quarantine knows the requests that end leafs.
+	opts           atomic.Pointer[Options]
+	table          *replica.Table
+	leafs          LeafClient
+	splitter       *routing.Splitter
+	pool           *ants.Pool
+	log            *oplog.Log
+	stats          *Stats
+	callerTimeouts *callerTimeouts
+	// quarantine tracks requests that crash leafs.
 	quarantine *quarantine.Table
-	// batcher is nil where queries go to all leafs directly; zone is this instance's.
+	// batcher is nil if all leafs are called directly; zone is the zone of this instance.
 	batcher Batcher
 	zone    string
-	// gatherers is nil where each instance runs its own queries.
+	// gatherers is nil if each instance runs its own queries.
 	gatherers Gatherers
 	config    atomic.Pointer[routing.Config]
-	// configured is closed with the first configuration.
+	// configured is closed when the first configuration is applied.
 	configured chan struct{}
-	// isolatedSince is when the instance was found isolated, nil when it is
-	// not.
+	// isolatedSince is when the instance was found isolated; nil when it is not isolated.
 	isolatedSince atomic.Pointer[time.Time]
 	evacuations   evacuations
 	inFlight      atomic.Int64
 }
 
-// New returns a gateway without a configuration: it refuses until one is set.
+// New returns a gateway without a configuration, which refuses requests until one is set.
 func New(opts Options, table *replica.Table, leafs LeafClient, log *oplog.Log, stats *Stats) (*Gateway, error) {
 	pool, err := ants.NewPool(opts.Workers, ants.WithNonblocking(true))
 	if err != nil {
@@ -207,28 +207,28 @@
 	}
 	g := &Gateway{
 		table: table, leafs: leafs, log: log, stats: stats,
-		splitter: routing.NewSplitter(), patience: newPatienceTable(), quarantine: quarantine.NewTable(), pool: pool, configured: make(chan struct{}),
+		splitter: routing.NewSplitter(), callerTimeouts: newCallerTimeouts(), quarantine: quarantine.NewTable(), pool: pool, configured: make(chan struct{}),
 		evacuations: evacuations{since: make(map[string]time.Time)},
 	}
 	g.opts.Store(&opts)
-	stats.watchQuarantine(g.quarantine)
+	stats.registerQuarantine(g.quarantine)
 	return g, nil
 }
 
-// UseBatcher lets queries of this instance, which is in the given zone, go through peers.
-// It is called before requests are served.
+// UseBatcher makes queries call leafs of other zones through peers; zone is the zone of this
+// instance. It must be called before requests are served.
 func (g *Gateway) UseBatcher(batcher Batcher, zone string) { g.batcher, g.zone = batcher, zone }
 
-// SetOptions puts other options in force for requests that come from now on.
+// SetOptions replaces the options for requests that arrive from now on.
 func (g *Gateway) SetOptions(opts Options) { g.opts.Store(&opts) }
 
 // Close releases the worker pool.
 func (g *Gateway) Close() { g.pool.Release() }
 
-// Config is the configuration in force, nil before the first.
+// Config returns the current configuration, nil before the first.
 func (g *Gateway) Config() *routing.Config { return g.config.Load() }
 
-// InFlight is how many requests are being run.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // Handle runs one request on the published route that it matches.
@@ -244,7 +244,7 @@
 	return g.serve(ctx, req, route, c.Version)
 }
 
-// Serve runs one request on a route that its door has chosen to its answer.
+// Serve runs one request on a route that its frontend has selected.
 func (g *Gateway) Serve(ctx context.Context, req *Request, route *routing.Route) Answer {
 	return g.serve(ctx, req, route, g.version())
 }
@@ -256,66 +256,65 @@
 		return g.refuse(req, route, errcode.EntryOverloaded, g.opts.Load().RetryAfter)
 	}
 	defer g.inFlight.Add(-1)
-	if left := g.quarantine.Left(req.Key, time.Now()); left > 0 {
-		return g.refuseQuarantined(req, route, left)
+	if remaining := g.quarantine.Left(req.Key, time.Now()); remaining > 0 {
+		return g.refuseQuarantined(req, route, remaining)
 	}
 	end := g.deadline(req, route)
 	var a Answer
 	if route.Kind == routing.Gather {
-		a = g.query(ctx, req, route, version, end)
+		a = g.runQuery(ctx, req, route, version, end)
 	} else {
-		a = g.single(ctx, req, route, end)
+		a = g.runSingle(ctx, req, route, end)
 	}
 	a.Route = route
 	g.stats.answered(route, a.Code, time.Since(req.Arrived))
 	return a
 }
 
-// deadline is when the final answer must be on its way: the caller's patience
-// or the route's timeout, whichever is first, less the margin to write it and the
-// way to the caller.
+// deadline returns the time by which the answer must be sent: the caller's timeout or the
+// route's, whichever is shorter, less the margin to write the answer and the network delay.
 func (g *Gateway) deadline(req *Request, route *routing.Route) time.Time {
-	patience := req.Timeout
-	if patience <= 0 {
-		patience = g.opts.Load().DefaultTimeout
+	timeout := req.Timeout
+	if timeout <= 0 {
+		timeout = g.opts.Load().DefaultTimeout
 	}
 	if route.Timeout > 0 {
-		patience = min(patience, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	return req.Arrived.Add(patience - min(g.opts.Load().AnswerMargin+req.NetworkDelay, patience/onTheWayPart))
+	return req.Arrived.Add(timeout - min(g.opts.Load().AnswerMargin+req.NetworkDelay, timeout/networkDelayDivisor))
 }
 
-// refuse answers a request that ran nowhere.
+// refuse answers a request of which nothing has run.
 func (g *Gateway) refuse(req *Request, route *routing.Route, code errcode.Code, retryAfter time.Duration) Answer {
 	name := ""
 	if route != nil {
 		name = route.Name
 	}
 	g.stats.refused(code)
-	g.log.Decision("request_refused", req.about(name, oplog.Fields{
+	g.log.Decision("request_refused", req.logFields(name, oplog.Fields{
 		"code": code.String(), "reason": code.Name(),
 		"retry_after_ms": retryAfter.Milliseconds(), "config_version": g.version(), "in_flight": g.inFlight.Load(),
 	}))
 	return Answer{Code: code, RetryAfter: retryAfter}
 }
 
-// callerLeft ends a request whose caller has closed its connection.
-func (g *Gateway) callerLeft(req *Request, route *routing.Route) Answer {
-	g.stats.left()
-	g.log.Decision("caller_left", req.about(route.Name, oplog.Fields{"after_ms": time.Since(req.Arrived).Milliseconds()}))
+// callerDisconnected ends a request whose caller has closed its connection.
+func (g *Gateway) callerDisconnected(req *Request, route *routing.Route) Answer {
+	g.stats.callerDisconnected()
+	g.log.Decision("caller_left", req.logFields(route.Name, oplog.Fields{"after_ms": time.Since(req.Arrived).Milliseconds()}))
 	return Answer{Code: errcode.CallerDisconnected}
 }
 
-// noteSecond records that another leaf of a service, or shard, is asked.
-func (g *Gateway) noteSecond(route *routing.Route, call LeafCall, why string) {
+// recordSecondRequest records that a further leaf is called for a service or shard.
+func (g *Gateway) recordSecondRequest(route *routing.Route, call LeafCall, why string) {
 	req := call.Request
-	g.stats.second(why)
-	g.log.Decision("second_request", req.about(route.Name, oplog.Fields{
+	g.stats.secondRequest(why)
+	g.log.Decision("second_request", req.logFields(route.Name, oplog.Fields{
 		"service": call.Service, "leaf": call.Leaf.ID, "why": why, "after_ms": time.Since(req.Arrived).Milliseconds(),
 	}))
 }
 
-// version is the version of the configuration in force, 0 without one.
+// version returns the version of the current configuration, 0 without one.
 func (g *Gateway) version() int64 {
 	if c := g.config.Load(); c != nil {
 		return c.Version
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -17,24 +17,24 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// scripted are leafs that answer as a function says.
-type scripted struct {
+// scriptedLeafs is a LeafClient whose replies are determined by a function.
+type scriptedLeafs struct {
 	answer func(ctx context.Context, call LeafCall) LeafReply
 }
 
-func (s *scripted) Do(ctx context.Context, call LeafCall) LeafReply { return s.answer(ctx, call) }
-func (s *scripted) Probe(context.Context, replica.Leaf, string, time.Time) bool {
+func (s *scriptedLeafs) Do(ctx context.Context, call LeafCall) LeafReply { return s.answer(ctx, call) }
+func (s *scriptedLeafs) Probe(context.Context, replica.Leaf, string, time.Time) bool {
 	return false
 }
-func (s *scripted) RemoveLeaf(string)    {}
-func (s *scripted) HandleRestart(string) {}
+func (s *scriptedLeafs) RemoveLeaf(string)    {}
+func (s *scriptedLeafs) HandleRestart(string) {}
 
-// answered is a good reply at once.
+// answered returns a successful reply immediately.
 func answered(_ context.Context, call LeafCall) LeafReply {
 	return LeafReply{Outcome: replica.Answered, Status: 200, Content: call.Leaf.ID}
 }
 
-// newGateway has a gather route over n shards with two leafs each, a repeatable
+// newGateway returns a gateway with a gather route over n shards of two leafs each, a repeatable
 // and an at-most-once route.
 func newGateway(tb testing.TB, n int, answer func(context.Context, LeafCall) LeafReply) *Gateway {
 	table := replica.NewTable(replica.Options{
@@ -50,7 +50,7 @@
 		MaxInFlight: 100, Workers: 10000, DefaultTimeout: 2 * time.Second,
 		AnswerMargin: 5 * time.Millisecond, RetryAfter: 300 * time.Millisecond,
 	}
-	g, err := New(opts, table, &scripted{answer}, log, NewStats(metrics.NewSet()))
+	g, err := New(opts, table, &scriptedLeafs{answer}, log, NewStats(metrics.NewSet()))
 	require.NoError(tb, err)
 	tb.Cleanup(g.Close)
 	gather := &routing.Route{
@@ -82,7 +82,7 @@
 	return g.Handle(context.Background(), &Request{ID: "r", Host: "h", Path: path, Arrived: time.Now()})
 }
 
-func TestAnswers(t *testing.T) {
+func TestResultCodeByLeafOutcome(t *testing.T) {
 	always := func(o replica.Outcome) func(context.Context, LeafCall) LeafReply {
 		return func(context.Context, LeafCall) LeafReply { return LeafReply{Outcome: o} }
 	}
@@ -91,43 +91,43 @@
 		answer func(context.Context, LeafCall) LeafReply
 		want   errcode.Code
 	}{
-		"no route":                          {"/none/", answered, errcode.UnknownRoute},
-		"gather":                            {"/all/", answered, errcode.OK},
-		"gather, every leaf breaks off":     {"/all/", always(replica.Broken), errcode.TooFewShards},
-		"gather, no leaf takes it":          {"/all/", always(replica.Refused), errcode.ShardsUnavailable},
-		"one":                               {"/one/", answered, errcode.OK},
-		"one, both refuse":                  {"/one/", always(replica.Refused), errcode.ShardsUnavailable},
-		"one, both break off":               {"/one/", always(replica.Broken), errcode.LeafFailed},
-		"hold":                              {"/hold/", answered, errcode.OK},
-		"hold, refused":                     {"/hold/", always(replica.NotSent), errcode.ShardsUnavailable},
-		"hold, breaks off: outcome unknown": {"/hold/", always(replica.Broken), errcode.OutcomeUnknown},
+		"no route": {"/none/", answered, errcode.UnknownRoute},
+		"gather":   {"/all/", answered, errcode.OK},
+		"gather, every leaf loses the connection": {"/all/", always(replica.Broken), errcode.TooFewShards},
+		"gather, every leaf refuses":              {"/all/", always(replica.Refused), errcode.ShardsUnavailable},
+		"one":                                     {"/one/", answered, errcode.OK},
+		"one, both refuse":                        {"/one/", always(replica.Refused), errcode.ShardsUnavailable},
+		"one, both lose the connection":           {"/one/", always(replica.Broken), errcode.LeafFailed},
+		"hold":                                    {"/hold/", answered, errcode.OK},
+		"hold, not sent":                          {"/hold/", always(replica.NotSent), errcode.ShardsUnavailable},
+		"hold, connection lost: outcome unknown":  {"/hold/", always(replica.Broken), errcode.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := ask(newGateway(t, 20, tc.answer), tc.path)
 			require.Equal(t, tc.want, a.Code)
-			require.Equal(t, a.Code.HTTPStatus() == 503, a.RetryAfter > 0, "a refusal says when to come back")
+			require.Equal(t, a.Code.HTTPStatus() == 503, a.RetryAfter > 0, "a refusal has a retry hint")
 		})
 	}
 }
 
-// Symptom: answers that left in time reach distant callers late. Sequence: caller
-// and instance are 5 ms apart, and the answer leaves 8 ms before the target as
-// seen from the instance. Cause: the way was no part of the reckoning.
-func TestTheWayToTheCallerCounts(t *testing.T) {
+// Guards against answers that are sent in time but reach distant callers late. Caller and
+// instance are 5 ms apart, and the answer is sent 8 ms before the target as measured at the
+// instance. The network delay was not taken into account.
+func TestNetworkDelayIsSubtractedFromDeadlines(t *testing.T) {
 	g := newGateway(t, 1, answered)
 	opts := *g.opts.Load()
 	opts.AnswerMargin = 5 * time.Millisecond
 	g.SetOptions(opts)
 	arrived := time.Now()
-	for _, tc := range []struct{ way, target, patience, wantSent, wantLeft time.Duration }{
+	for _, tc := range []struct{ delay, target, timeout, wantSent, wantLeft time.Duration }{
 		{0, 200, 1000, 0, 995},
 		{10, 200, 1000, 10, 985},
 		{100, 200, 1000, 50, 895},
 		{900, 200, 1000, 50, 750},
 		{10, 0, 1000, 0, 985},
 	} {
-		req := &Request{Arrived: arrived, NetworkDelay: tc.way * time.Millisecond, Timeout: tc.patience * time.Millisecond}
-		require.Equal(t, tc.wantSent*time.Millisecond, arrived.Sub(req.sent(tc.target*time.Millisecond)), "%v", tc)
+		req := &Request{Arrived: arrived, NetworkDelay: tc.delay * time.Millisecond, Timeout: tc.timeout * time.Millisecond}
+		require.Equal(t, tc.wantSent*time.Millisecond, arrived.Sub(req.latencyStart(tc.target*time.Millisecond)), "%v", tc)
 		require.Equal(t, tc.wantLeft*time.Millisecond, g.deadline(req, &routing.Route{}).Sub(arrived), "%v", tc)
 	}
 }
@@ -149,8 +149,8 @@
 	require.Equal(t, errcode.OK, (<-first).Code)
 }
 
-// BenchmarkQuery is the processor time and the allocations of one query over n
-// shards, leafs answering at once: decisions, goroutines and merging.
+// BenchmarkQuery measures the processor time and the allocations of one query over n shards
+// whose leafs answer immediately: decisions, goroutines and merging.
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{20, 70, 90} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -165,12 +165,12 @@
 	}
 }
 
-// Callers were told that nothing had run while parts of their query were at leafs: three of
-// twenty shards were refused within 5 ms, too few were left for a success, and the other
-// requests, sent and unanswered, were not looked at. A line of it:
+// Guards against telling callers that nothing has run while parts of their query are at leafs.
+// Three of twenty shards were refused within 5 ms, too few were left for a success, and the
+// other requests, sent but not yet answered, were not considered:
 //
 //	query_failed after_ms=5 code=IY2005 covered=0 needed=18 missing=map[bano58l:unanswered cule94i:failed ...]
-func TestQueryWithRequestsInFlightIsNotCalledUnrun(t *testing.T) {
+func TestQueryWithRequestsInFlightIsNotReportedAsNotRun(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	g := newGateway(t, 20, func(_ context.Context, call LeafCall) LeafReply {
--- a/pkg/gateway/gather.go
+++ b/pkg/gateway/gather.go
@@ -12,77 +12,79 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// arrival is a leaf's reply on its way to the gather loop.
-type arrival struct {
+// shardReply is a leaf's reply, with its shard and attempt, as passed to the gather loop.
+type shardReply struct {
 	shard   int
 	attempt int
 	reply   LeafReply
-	// merged: its records cannot be told from those of the arrivals that came with
-	// it.
+	// merged reports that its records cannot be told apart from those of the other replies in
+	// the same group.
 	merged bool
 }
 
-// gathering is one query over many shards under way.
-type gathering struct {
+// gatherRun is the state of one query over many shards.
+type gatherRun struct {
 	g *Gateway
-	// caller ends when the caller leaves. The leaf calls run on under calls,
-	// which outlives the answer: a call that is still open then ends at its
-	// own deadline and its connection is kept. Closing it instead costs a
-	// leaf 6 ms of a slot for the next connection.
-	caller context.Context
-	calls  context.Context
-	endAll context.CancelFunc
-	req    *Request
-	route  *routing.Route
-	query  *fanout.Query
-	// replies has room for every call there can be and belongs to this
-	// request alone: a reply that comes after the answer was given is dropped
-	// with the channel and cannot reach another caller.
-	replies chan []arrival
-	// cancels end the batches that went through peers.
-	cancels []func()
-	shards  []ShardAnswer
-	// trial: the query is tried at one leaf first.
-	trial bool
-	// losers ends the open calls of each shard; nil where they run on.
-	losers []context.CancelFunc
+	// callerCtx ends when the caller disconnects. Leaf calls run under callCtx, which outlives
+	// the answer: a call that is still open then ends at its own deadline, and its connection
+	// is kept. Closing it instead would cost the leaf 6 ms of a slot for the next connection.
+	callerCtx   context.Context
+	callCtx     context.Context
+	cancelCalls context.CancelFunc
+	req         *Request
+	route       *routing.Route
+	query       *fanout.Query
+	// replies has capacity for every possible call and belongs to this request alone: a reply
+	// that arrives after the answer was given is discarded with the channel and cannot reach
+	// another caller.
+	replies chan []shardReply
+	// cancelBatches holds a function for each batch sent through a peer that cancels it.
+	cancelBatches []func()
+	// shards holds the results of the shards so far, in the route's order.
+	shards []ShardAnswer
+	// isTrial reports that the query is suspected of crashing leafs and is first sent to
+	// a single leaf.
+	isTrial bool
+	// cancelShardCalls holds a function for each shard that cancels its open calls; nil if
+	// losing calls are not cancelled.
+	cancelShardCalls []context.CancelFunc
 }
 
 // gather runs a query over all shards of its route.
-func (g *Gateway) gather(ctx context.Context, req *Request, route *routing.Route, end time.Time) Answer {
+func (g *Gateway) gather(ctx context.Context, req *Request, route *routing.Route, deadline time.Time) Answer {
 	admission := g.quarantine.Admit(req.Key, time.Now())
 	if admission.Verdict == quarantine.Quarantined {
 		return g.refuseQuarantined(req, route, admission.RetryAfter)
 	}
 	trial := admission.Verdict == quarantine.Suspect
 	query := fanout.New(g.table, route, g.opts.Load().Fanout, fanout.Timing{
-		Start: req.sent(route.TargetLatency), HardEnd: end,
-		Returned: g.patience.Returned(route.Name, req.Timeout),
+		Start: req.latencyStart(route.TargetLatency), HardEnd: deadline,
+		Returned: g.callerTimeouts.isRetry(route.Name, req.Timeout),
 		Suspect:  trial, SuspectOf: admission.Service,
 	})
 	sends, refusal := query.Start(time.Now())
 	if refusal != nil {
 		if trial {
-			g.trialEnded(req, quarantine.Unsent)
+			g.recordTrial(req, quarantine.Unsent)
 		}
 		a := g.refuseGather(req, route, refusal)
-		a.Shards = lacks(query, make([]ShardAnswer, len(route.Shards)))
+		a.Shards = fillMissingReasons(query, make([]ShardAnswer, len(route.Shards)))
 		return a
 	}
-	calls, endAll := context.WithCancel(context.WithoutCancel(ctx))
-	run := &gathering{
-		g: g, caller: ctx, calls: calls, endAll: endAll, req: req, route: route, query: query, trial: trial,
-		replies: make(chan []arrival, len(route.Shards)*fanout.MaxAttempts),
+	callCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx))
+	run := &gatherRun{
+		g: g, callerCtx: ctx, callCtx: callCtx, cancelCalls: cancelCalls, req: req, route: route, query: query, isTrial: trial,
+		replies: make(chan []shardReply, len(route.Shards)*fanout.MaxAttempts),
 		shards:  make([]ShardAnswer, len(route.Shards)),
 	}
 	if g.opts.Load().CancelLosingCalls {
-		run.losers = make([]context.CancelFunc, len(route.Shards))
+		run.cancelShardCalls = make([]context.CancelFunc, len(route.Shards))
 	}
 	if query.Held(time.Now()) > 0 {
-		g.log.Decision("query_held", req.about(route.Name, oplog.Fields{"config_version": g.version()}))
+		g.log.Decision("query_held", req.logFields(route.Name, oplog.Fields{"config_version": g.version()}))
 	}
 	if trial {
-		g.noteTrial(req, route, admission)
+		g.logTrial(req, route, admission)
 	}
 	run.send(sends)
 	a := run.wait()
@@ -90,25 +92,25 @@
 	return a
 }
 
-// endTrial takes over that a trial brought no outcome.
-func (r *gathering) endTrial() {
+// endTrial records the result of a trial that ended without an outcome of its leaf call.
+func (r *gatherRun) endTrial() {
 	switch {
-	case !r.trial || !r.query.Trying():
+	case !r.isTrial || !r.query.Trying():
 	case r.query.InFlight():
-		r.g.trialEnded(r.req, quarantine.Unresolved)
+		r.g.recordTrial(r.req, quarantine.Unresolved)
 	case !r.query.Ran():
-		r.g.trialEnded(r.req, quarantine.Unsent)
+		r.g.recordTrial(r.req, quarantine.Unsent)
 	}
 }
 
-// refuseGather answers a query that too few shards could serve in time.
+// refuseGather refuses a query of which too few shards could answer in time.
 func (g *Gateway) refuseGather(req *Request, route *routing.Route, r *fanout.Refusal) Answer {
 	code := errcode.ShardsUnavailable
 	if r.Overloaded {
 		code = errcode.ShardsOverloaded
 	}
 	g.stats.refused(code)
-	g.log.Decision("query_refused", req.about(route.Name, oplog.Fields{
+	g.log.Decision("query_refused", req.logFields(route.Name, oplog.Fields{
 		"code": code.String(), "reason": code.Name(),
 		"shards": len(route.Shards), "shards_unreachable": r.Unreachable, "shards_late": r.Late, "shards_busy": r.Busy,
 		"risk": r.Risk, "may_miss": r.Spare, "chance": r.Chance,
@@ -117,52 +119,52 @@
 	return Answer{Code: code, RetryAfter: r.RetryAfter}
 }
 
-// refuseHeld answers a query that has waited for room in vain, of which nothing was sent.
+// refuseHeld refuses a query that waited for capacity without success and sent no request.
 func (g *Gateway) refuseHeld(req *Request, route *routing.Route, held time.Duration) Answer {
 	code := errcode.ShardsOverloaded
 	g.stats.refused(code)
-	g.log.Decision("query_refused", req.about(route.Name, oplog.Fields{
+	g.log.Decision("query_refused", req.logFields(route.Name, oplog.Fields{
 		"code": code.String(), "reason": code.Name(), "held_ms": held.Milliseconds(),
 		"retry_after_ms": fanout.RetryLate.Milliseconds(), "config_version": g.version(),
 	}))
 	return Answer{Code: code, RetryAfter: fanout.RetryLate}
 }
 
-// send starts the leaf calls that the query asks for.
-func (r *gathering) send(sends []fanout.Send) {
+// send starts the given leaf calls.
+func (r *gatherRun) send(sends []fanout.Send) {
 	for _, s := range sends {
 		if s.Reason != fanout.First && s.Reason != fanout.Trial {
-			r.g.noteSecond(r.route, r.call(s), s.Reason.String())
+			r.g.recordSecondRequest(r.route, r.leafCall(s), s.Reason.String())
 		}
 	}
-	for _, s := range r.throughPeers(sends) {
-		call := r.call(s)
+	for _, s := range r.sendThroughPeers(sends) {
+		call := r.leafCall(s)
 		ctx := r.callContext(s.Shard)
 		task := func() {
-			reply := r.g.do(ctx, call, s.Call)
-			r.replies <- []arrival{{shard: s.Shard, attempt: s.Attempt, reply: reply}}
+			reply := r.g.callLeaf(ctx, call, s.Call)
+			r.replies <- []shardReply{{shard: s.Shard, attempt: s.Attempt, reply: reply}}
 		}
 		if err := r.g.pool.Submit(task); err != nil {
-			// The pool is full; the call was not sent.
+			// The worker pool is full; the call was not sent.
 			r.g.table.End(s.Call, replica.Abandoned, time.Now())
-			r.replies <- []arrival{{shard: s.Shard, attempt: s.Attempt, reply: LeafReply{Outcome: replica.NotSent, Err: ErrNoWorker}}}
+			r.replies <- []shardReply{{shard: s.Shard, attempt: s.Attempt, reply: LeafReply{Outcome: replica.NotSent, Err: ErrNoWorker}}}
 		}
 	}
 }
 
-// call is the leaf call that a send asks for.
-func (r *gathering) call(s fanout.Send) LeafCall {
+// leafCall returns the leaf call for a send.
+func (r *gatherRun) leafCall(s fanout.Send) LeafCall {
 	return LeafCall{Leaf: s.Call.Leaf, Service: r.route.Shards[s.Shard], Request: r.req, Deadline: s.Deadline}
 }
 
-// callContext is what a call of a shard runs under.
-func (r *gathering) callContext(shard int) context.Context {
-	if r.losers == nil {
-		return r.calls
+// callContext returns the context for a new call of a shard.
+func (r *gatherRun) callContext(shard int) context.Context {
+	if r.cancelShardCalls == nil {
+		return r.callCtx
 	}
-	ctx, cancel := context.WithCancel(r.calls)
-	earlier := r.losers[shard]
-	r.losers[shard] = func() {
+	ctx, cancel := context.WithCancel(r.callCtx)
+	earlier := r.cancelShardCalls[shard]
+	r.cancelShardCalls[shard] = func() {
 		cancel()
 		if earlier != nil {
 			earlier()
@@ -171,64 +173,66 @@
 	return ctx
 }
 
-// wait runs the query until its answer can be given.
-func (r *gathering) wait() Answer {
+// wait processes replies and timers until the answer can be given.
+func (r *gatherRun) wait() Answer {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	waited := false
+	graceGiven := false
 	for {
 		now := time.Now()
-		if r.harmful(now) {
+		if r.mustGiveUp(now) {
 			r.query.GiveUp()
 		}
 		if state := r.query.State(now); state != fanout.Running {
 			return r.answer(state)
 		}
 		due := r.query.Next(now)
-		if waited {
-			due = now.Add(repliesGrace)
+		if graceGiven {
+			due = now.Add(stalledReplyGrace)
 		}
 		timer.Reset(due.Sub(now))
 		select {
 		case group := <-r.replies:
-			r.takeAll(group)
+			r.handleReplies(group)
 		case <-timer.C:
-			if r.takeReady() {
+			if r.drainReplies() {
 				continue
 			}
-			if waited = !waited && time.Since(due) > stoodStill; waited {
+			if graceGiven = !graceGiven && time.Since(due) > processStallThreshold; graceGiven {
 				continue
 			}
 			r.send(r.query.Tick(time.Now()))
-		case <-r.caller.Done():
-			r.withdraw()
+		case <-r.callerCtx.Done():
+			r.cancelAll()
 			r.g.stats.overAttempts(r.query.OverAttempts())
-			r.logAsked()
-			return r.g.callerLeft(r.req, r.route)
+			r.logQueriedLeafs()
+			return r.g.callerDisconnected(r.req, r.route)
 		}
 	}
 }
 
 const (
-	// stoodStill is how late a timer may be before this process itself is taken to have
-	// stood still: timers are a millisecond or two late on a busy machine.
-	stoodStill = 8 * time.Millisecond
-	// repliesGrace is how long replies that have come meanwhile may take to be read.
-	repliesGrace = 2 * time.Millisecond
+	// processStallThreshold is the delay of a timer from which this process is assumed to have
+	// been stalled: timers are 1 or 2 ms late on a busy machine.
+	processStallThreshold = 8 * time.Millisecond
+	// stalledReplyGrace is how long the loop waits after a stall for replies that have arrived
+	// meanwhile to be read.
+	stalledReplyGrace = 2 * time.Millisecond
 )
 
-// takeReady takes over all replies that are there, and reports whether there were any.
+// drainReplies processes all replies that are available, and reports whether there were any.
 //
-// On a machine short of processor time a timer and replies come due together. Looked at
-// first, the timer says that leafs are slow which have answered long ago; their second
-// requests use the budget up that a slow one needs a moment later. One notices that a server
-// that is cold costs coverage although another one is well, beside a busy machine only.
-func (r *gathering) takeReady() bool {
+// On a machine short of processor time a timer and replies become due together. If the timer
+// were processed first, leafs that have already answered would count as slow, and their second
+// requests would use up the budget that a leaf which really is slow needs a moment later. The
+// symptom, seen only next to a busy machine, is that a cold server costs coverage although
+// another server of the shard is healthy.
+func (r *gatherRun) drainReplies() bool {
 	any := false
 	for {
 		select {
 		case group := <-r.replies:
-			r.takeAll(group)
+			r.handleReplies(group)
 			any = true
 		default:
 			return any
@@ -236,63 +240,63 @@
 	}
 }
 
-// takeAll hands replies that came together to the query.
-func (r *gathering) takeAll(group []arrival) {
+// handleReplies passes replies that belong together to the query.
+func (r *gatherRun) handleReplies(group []shardReply) {
 	for _, a := range group {
-		r.take(a)
+		r.handleReply(a)
 	}
 }
 
-// take hands one reply to the query.
-func (r *gathering) take(a arrival) {
+// handleReply passes one reply to the query.
+func (r *gatherRun) handleReply(a shardReply) {
 	s := &r.shards[a.shard]
 	switch {
 	case a.reply.Outcome != replica.Answered:
 		s.LastFailure = &a.reply
 	case s.Reply == nil || a.merged:
-		// Merged records take the place of an earlier reply, which stands alone.
+		// Merged records replace an earlier reply, whose records were sent separately.
 		s.Reply = &a.reply
-		if r.losers != nil {
-			r.losers[a.shard]()
+		if r.cancelShardCalls != nil {
+			r.cancelShardCalls[a.shard]()
 		}
 	}
 	if r.query.Trying() {
-		r.g.trialEnded(r.req, trialOf(a.reply.Outcome))
+		r.g.recordTrial(r.req, trialResult(a.reply.Outcome))
 	}
 	r.send(r.query.Reply(a.shard, a.attempt, a.reply.Outcome, time.Now()))
 }
 
-// answer builds the answer of a query that has ended.
-func (r *gathering) answer(state fanout.State) Answer {
+// answer returns the answer of a query that has ended.
+func (r *gatherRun) answer(state fanout.State) Answer {
 	a := Answer{Code: errcode.OK}
 	if state != fanout.Complete {
-		a = r.fail(state)
+		a = r.failedAnswer(state)
 	}
 	if r.query.GivenUp() {
-		r.withdraw()
+		r.cancelAll()
 	}
 	r.g.stats.overAttempts(r.query.OverAttempts())
 	if r.req.HandoffTimedOut {
-		r.logAsked()
+		r.logQueriedLeafs()
 	}
-	a.Shards = lacks(r.query, r.shards)
+	a.Shards = fillMissingReasons(r.query, r.shards)
 	if a.Code == errcode.OK && a.Missing() > 0 {
-		r.logLeftOut("partial_answer", errcode.OK)
-		r.g.stats.partial()
+		r.logMissingShards("partial_answer", errcode.OK)
+		r.g.stats.partialAnswer()
 	}
 	return a
 }
 
-// lacks notes why shards without a part have none.
-func lacks(query *fanout.Query, shards []ShardAnswer) []ShardAnswer {
+// fillMissingReasons sets for each shard why it is missing.
+func fillMissingReasons(query *fanout.Query, shards []ShardAnswer) []ShardAnswer {
 	for i := range shards {
 		shards[i].MissingReason = query.Lack(i)
 	}
 	return shards
 }
 
-// fail answers a query that covers too few shards.
-func (r *gathering) fail(state fanout.State) Answer {
+// failedAnswer returns the answer of a query that covers too few shards.
+func (r *gatherRun) failedAnswer(state fanout.State) Answer {
 	if held := r.query.Held(time.Now()); held > 0 {
 		return r.g.refuseHeld(r.req, r.route, held)
 	}
@@ -304,12 +308,12 @@
 	case r.query.GivenUp() && (r.query.Ran() || r.query.InFlight()):
 		a.Code = errcode.LeafsCrashed
 	case !r.query.Ran() && !r.query.InFlight():
-		// What is in flight may still run: its caller must not be told that nothing did.
+		// Requests in flight may still run: the caller must not be told that nothing has run.
 		a.Code = errcode.ShardsUnavailable
 		a.RetryAfter = r.g.opts.Load().RetryAfter
 	case state == fanout.Insufficient:
 		a.Code = errcode.TooFewShards
 	}
-	r.logLeftOut("query_failed", a.Code)
+	r.logMissingShards("query_failed", a.Code)
 	return a
 }
--- a/pkg/gateway/gatherers.go
+++ b/pkg/gateway/gatherers.go
@@ -9,67 +9,68 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// Gatherers are the few instances of an availability zone that run its queries.
+// Gatherers are the few instances of an availability zone that run the zone's queries.
 //
-// In a large fleet an instance sees less than one query a second. It learns nothing of
-// slow, shedding and full leafs before an overload is over, opens connections to every
-// leaf for itself, and turns nobody away; one notices overloads of some seconds in which
-// hardly a query is refused and most are late. Run by a few instances, the queries of a
-// zone share what each of them has shown.
+// In a large fleet an instance receives less than 1 query/s. If each ran its own queries,
+// it would not detect slow, shedding or full leafs before an overload is over, would open its
+// own connections to every leaf, and would refuse nobody; the symptom is overloads of some
+// seconds in which hardly a query is refused and most are late. Run by a few instances, the
+// queries of a zone share what those instances have observed.
 type Gatherers interface {
-	// Delegate hands a query on. ok is false where nobody took it, or this instance is to run
-	// it itself: nothing has run then.
+	// Delegate hands a query to a gatherer. ok is false if no gatherer accepted it or this
+	// instance is to run it itself; nothing has run in that case.
 	Delegate(ctx context.Context, q GatherQuery) (a Answer, ok bool)
 }
 
-// GatherQuery is a query that may be handed on.
+// GatherQuery is a query that may be delegated.
 type GatherQuery struct {
 	Request *Request
 	Route   *routing.Route
-	// ConfigVersion is the configuration that the query is run under. An instance with
-	// another one declines: an older one could bring back what a caller has seen
-	// replaced, and an answer names the shards of one version.
+	// ConfigVersion is the version of the configuration under which the query is run. An
+	// instance with another version declines it: an older one could return data under a
+	// configuration that the caller has already seen replaced, and an answer lists the shards
+	// of one version.
 	ConfigVersion int64
-	// Deadline is when the final answer must be on its way.
+	// Deadline is the time by which the answer must be sent.
 	Deadline time.Time
 }
 
-// UseGatherers lets queries of this instance be run by others of its zone. It is called
+// UseGatherers makes this instance delegate queries to gatherers of its zone. It must be called
 // before requests are served.
 func (g *Gateway) UseGatherers(gatherers Gatherers) { g.gatherers = gatherers }
 
-// query runs a query over all shards of its route, here or at a gatherer.
-func (g *Gateway) query(ctx context.Context, req *Request, route *routing.Route, version int64, end time.Time) Answer {
+// runQuery runs a query over all shards of its route, here or at a gatherer.
+func (g *Gateway) runQuery(ctx context.Context, req *Request, route *routing.Route, version int64, deadline time.Time) Answer {
 	if g.gatherers == nil || !g.table.AtHome(route.Name) {
-		return g.gather(ctx, req, route, end)
+		return g.gather(ctx, req, route, deadline)
 	}
-	a, ok := g.gatherers.Delegate(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, Deadline: end})
+	a, ok := g.gatherers.Delegate(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, Deadline: deadline})
 	if !ok {
-		return g.gather(ctx, req, route, end)
+		return g.gather(ctx, req, route, deadline)
 	}
-	g.handedOn(req, route, a)
+	g.recordDelegated(req, route, a)
 	return a
 }
 
-// handedOn records what came of a query that another instance ran.
-func (g *Gateway) handedOn(req *Request, route *routing.Route, a Answer) {
+// recordDelegated records the outcome of a query that another instance ran.
+func (g *Gateway) recordDelegated(req *Request, route *routing.Route, a Answer) {
 	switch {
 	case a.Code == errcode.OK:
 		return
 	case a.Code == errcode.CallerDisconnected:
-		g.callerLeft(req, route)
+		g.callerDisconnected(req, route)
 		return
 	case a.Code.NotRun():
 		g.stats.refused(a.Code)
 	}
-	g.log.Decision("query_ended_elsewhere", req.about(route.Name, oplog.Fields{
+	g.log.Decision("query_ended_elsewhere", req.logFields(route.Name, oplog.Fields{
 		"code": a.Code.String(), "reason": a.Code.Name(),
 		"after_ms": time.Since(req.Arrived).Milliseconds(), "config_version": g.version(),
 	}))
 }
 
 // Gather runs a query for another instance of the zone. It calls granted before anything is
-// sent, and sends nothing unless that says that the query is this instance's to run; ok is
+// sent, and sends nothing unless granted reports that the query is this instance's to run. ok is
 // false if the query did not run and will not.
 func (g *Gateway) Gather(ctx context.Context, req *Request, version int64, granted func() bool) (a Answer, ok bool) {
 	c := g.config.Load()
--- a/pkg/gateway/gatherlog.go
+++ b/pkg/gateway/gatherlog.go
@@ -8,31 +8,32 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// logAsked records which leafs were asked for the query, where that is not told elsewhere: its
-// caller has left, or another instance was to run it or may be running it.
-func (r *gathering) logAsked() {
+// logQueriedLeafs logs the leafs that were called for the query, for the cases that no other
+// log line covers: the caller disconnected, or the query was handed to another instance that
+// may be running it.
+func (r *gatherRun) logQueriedLeafs() {
 	asked := make(map[string][]string)
 	for i, service := range r.route.Shards {
 		if leafs := r.query.Asked(i); len(leafs) > 0 {
 			asked[service] = leafs
 		}
 	}
-	r.g.log.Decision("query_asked", r.req.about(r.route.Name, oplog.Fields{
+	r.g.log.Decision("query_asked", r.req.logFields(r.route.Name, oplog.Fields{
 		"asked": asked, "max_attempts": r.route.MaxAttempts, "after_ms": time.Since(r.req.Arrived).Milliseconds(),
 	}))
 }
 
-// logLeftOut records which shards an answer lacks, and why.
-func (r *gathering) logLeftOut(event string, code errcode.Code) {
-	left := make(map[string]string)
+// logMissingShards logs the shards that are missing from an answer, and why.
+func (r *gatherRun) logMissingShards(event string, code errcode.Code) {
+	missing := make(map[string]string)
 	for i, service := range r.route.Shards {
 		if lack := r.query.Lack(i); lack != fanout.Covered {
-			left[service] = lack.String()
+			missing[service] = lack.String()
 		}
 	}
-	r.g.log.Decision(event, r.req.about(r.route.Name, oplog.Fields{
+	r.g.log.Decision(event, r.req.logFields(r.route.Name, oplog.Fields{
 		"code":    code.String(),
 		"covered": r.query.Covered(), "needed": r.query.Need(), "shards": len(r.route.Shards),
-		"missing": left, "after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
+		"missing": missing, "after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
 	}))
 }
--- a/pkg/gateway/leafcall.go
+++ b/pkg/gateway/leafcall.go
@@ -8,35 +8,36 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// do sends one leaf call and records its outcome.
-func (g *Gateway) do(ctx context.Context, call LeafCall, entry *replica.Call) LeafReply {
+// callLeaf sends one leaf call and records its outcome. tracked is the call's record in the
+// replica table.
+func (g *Gateway) callLeaf(ctx context.Context, call LeafCall, tracked *replica.Call) LeafReply {
 	started := time.Now()
 	reply := g.leafs.Do(ctx, call)
 	now := time.Now()
-	g.ended(call, entry, reply, now.Sub(started), now)
+	g.recordLeafCall(call, tracked, reply, now.Sub(started), now)
 	return reply
 }
 
-// ended records the outcome of a leaf call that took some time.
-func (g *Gateway) ended(call LeafCall, entry *replica.Call, reply LeafReply, took time.Duration, now time.Time) {
-	g.takeLoad(call, entry, reply, now)
-	turn := g.table.EndAfter(entry, reply.Outcome, took, now)
-	g.stats.leaf(reply.Outcome, took)
+// recordLeafCall records the outcome and duration of a leaf call.
+func (g *Gateway) recordLeafCall(call LeafCall, tracked *replica.Call, reply LeafReply, took time.Duration, now time.Time) {
+	g.applyLoad(call, tracked, reply, now)
+	change := g.table.EndAfter(tracked, reply.Outcome, took, now)
+	g.stats.leafCall(reply.Outcome, took)
 	if reply.Outcome == replica.Ended {
-		g.leafEnded(call, entry, now)
+		g.recordLeafCrash(call, tracked, now)
 	}
 	if reply.Outcome != replica.Answered && reply.Outcome != replica.Abandoned {
 		event := "leaf_call_failed"
 		if reply.Outcome == replica.Ended {
-			event = "leaf_ended" // A budget of lines of its own: rare, and of weight.
+			event = "leaf_ended" // Rare but important, so it has a rate limit of its own.
 		}
-		g.log.Decision(event, call.Request.about(entry.Class(), oplog.Fields{
+		g.log.Decision(event, call.Request.logFields(tracked.Class(), oplog.Fields{
 			"leaf": call.Leaf.ID, "service": call.Service, "leaf_zone": call.Leaf.Zone,
 			"outcome": reply.Outcome.String(), "status": reply.Status, "took_ms": took.Milliseconds(), "error": errText(reply.Err),
 			"load": loadText(reply.Load),
 		}))
 	}
-	switch turn {
+	switch change {
 	case replica.WentDown:
 		g.log.State("leaf_down", oplog.Fields{"leaf": call.Leaf.ID, "service": call.Service, "leaf_zone": call.Leaf.Zone, "error": errText(reply.Err)})
 	case replica.CameBack:
@@ -44,14 +45,14 @@
 	}
 }
 
-// takeLoad takes over what a leaf has said of itself.
-func (g *Gateway) takeLoad(call LeafCall, entry *replica.Call, reply LeafReply, now time.Time) {
+// applyLoad records the load that a leaf reported with its reply.
+func (g *Gateway) applyLoad(call LeafCall, tracked *replica.Call, reply LeafReply, now time.Time) {
 	switch {
 	case reply.LoadErr != nil:
 		g.stats.malformedLoad()
 		g.log.Decision("leaf_load_malformed", oplog.Fields{"leaf": call.Leaf.ID, "service": call.Service, "error": reply.LoadErr.Error()})
 	case reply.Load != nil:
-		g.table.TakeLoad(entry, *reply.Load, now)
+		g.table.TakeLoad(tracked, *reply.Load, now)
 	}
 }
 
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -11,15 +11,15 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// This file keeps requests that end leafs from them, whichever way they come: both doors,
-// queries of other instances, second requests, and callers that come again.
+// This file protects leafs from requests that crash them, on every path by which such a request
+// arrives: both frontends, queries of other instances, second requests and retries.
 
-// Quarantine is what is known of requests that end leafs.
+// Quarantine returns the table of requests that crash leafs.
 func (g *Gateway) Quarantine() *quarantine.Table { return g.quarantine }
 
-// refuseQuarantined answers a request that is not to be sent to leafs.
-func (g *Gateway) refuseQuarantined(req *Request, route *routing.Route, left time.Duration) Answer {
-	a := g.refuse(req, route, errcode.Quarantined, left)
+// refuseQuarantined refuses a request that must not be sent to leafs for the remaining time.
+func (g *Gateway) refuseQuarantined(req *Request, route *routing.Route, remaining time.Duration) Answer {
+	a := g.refuse(req, route, errcode.Quarantined, remaining)
 	if route.Kind != routing.Gather {
 		return a
 	}
@@ -30,23 +30,23 @@
 	return a
 }
 
-// leafEnded takes over that a leaf ended while it had a request.
-func (g *Gateway) leafEnded(call LeafCall, entry *replica.Call, now time.Time) {
+// recordLeafCrash records that a leaf process ended while it had a request.
+func (g *Gateway) recordLeafCrash(call LeafCall, tracked *replica.Call, now time.Time) {
 	req := call.Request
-	g.noteTurn(req.ID, g.quarantine.Ended(req.Key, req.ID, call.Leaf.ID, call.Service, entry.Began(), now))
+	g.logVerdictChange(req.ID, g.quarantine.Ended(req.Key, req.ID, call.Leaf.ID, call.Service, tracked.Began(), now))
 }
 
-// trialEnded takes over how the trial of a suspect ended.
-func (g *Gateway) trialEnded(req *Request, trial quarantine.Trial) {
-	g.noteTurn(req.ID, g.quarantine.TrialEnded(req.Key, trial, time.Now()))
+// recordTrial records the result of the trial of a suspect.
+func (g *Gateway) recordTrial(req *Request, trial quarantine.Trial) {
+	g.logVerdictChange(req.ID, g.quarantine.TrialEnded(req.Key, trial, time.Now()))
 }
 
-// trialOf is how a trial ended whose one leaf call had this outcome.
+// trialResult returns the result of a trial from the outcome of its single leaf call.
 //
-// A connection that only broke off counts as the end of its leaf here: on a machine short of
-// processor time the question whether anything listens is answered too late, and a request that
-// ends leafs would be tried again and again.
-func trialOf(outcome replica.Outcome) quarantine.Trial {
+// A lost connection counts as a crash of the leaf here: on a machine short of processor time
+// the probe whether the leaf still listens times out, and a request that crashes leafs would
+// be tried again and again.
+func trialResult(outcome replica.Outcome) quarantine.Trial {
 	switch {
 	case outcome == replica.Answered:
 		return quarantine.Answered
@@ -58,24 +58,24 @@
 	return quarantine.Unresolved
 }
 
-// noteTrial records that a request is tried at one leaf.
-func (g *Gateway) noteTrial(req *Request, route *routing.Route, admission quarantine.Admission) {
-	g.log.Decision("request_trial", req.about(route.Name, oplog.Fields{"service": admission.Service, "config_version": g.version()}))
+// logTrial logs that a request is tried at one leaf.
+func (g *Gateway) logTrial(req *Request, route *routing.Route, admission quarantine.Admission) {
+	g.log.Decision("request_trial", req.logFields(route.Name, oplog.Fields{"service": admission.Service, "config_version": g.version()}))
 }
 
-// noteTurn records that a request is believed otherwise than before.
-func (g *Gateway) noteTurn(request string, turn quarantine.Turn) {
-	if turn.Changed() {
-		fields := turn.Fields()
+// logVerdictChange logs a change of the quarantine verdict on a request.
+func (g *Gateway) logVerdictChange(request string, change quarantine.Turn) {
+	if change.Changed() {
+		fields := change.Fields()
 		fields["request"] = request
-		g.log.State(turn.Event(), fields)
+		g.log.State(change.Event(), fields)
 	}
 }
 
-// harmful reports whether a query under way is to be given up: others have seen it end leafs,
-// and here no leaf has answered it. One that still waits for room has not begun, and is not
-// begun as a suspect.
-func (r *gathering) harmful(now time.Time) bool {
+// mustGiveUp reports whether a running query is to be given up because other requests with its
+// content have crashed leafs, and no leaf has answered it here. A query that still waits for
+// capacity has sent nothing, and is not started while it is a suspect.
+func (r *gatherRun) mustGiveUp(now time.Time) bool {
 	if r.query.Covered() > 0 {
 		return false
 	}
@@ -88,18 +88,18 @@
 	return false
 }
 
-// withdraw ends all leaf calls: leafs drop what waits in their queues.
-func (r *gathering) withdraw() {
-	r.endAll()
-	for _, cancel := range r.cancels {
+// cancelAll cancels all leaf calls, so that leafs drop those that wait in their queues.
+func (r *gatherRun) cancelAll() {
+	r.cancelCalls()
+	for _, cancel := range r.cancelBatches {
 		cancel()
 	}
 }
 
-// logGivenUp records that a query was given up for the leafs' sake.
-func (r *gathering) logGivenUp(now time.Time) {
-	r.g.log.Decision("query_given_up", r.req.about(r.route.Name, oplog.Fields{
-		"leafs_ended": r.query.LeafsEnded(), "covered": r.query.Covered(), "trial": r.trial,
+// logGivenUp logs that a query was given up to protect the leafs.
+func (r *gatherRun) logGivenUp(now time.Time) {
+	r.g.log.Decision("query_given_up", r.req.logFields(r.route.Name, oplog.Fields{
+		"leafs_ended": r.query.LeafsEnded(), "covered": r.query.Covered(), "trial": r.isTrial,
 		"verdict":  r.g.quarantine.Verdict(r.req.Key, now).String(),
 		"after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
 	}))
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -17,8 +17,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// deadlyLeafs end when they run a request with "deadly" in its path, and answer others.
-func deadlyLeafs(calls *atomic.Int64) func(context.Context, LeafCall) LeafReply {
+// crashingLeafs crash on requests with "deadly" in the path, and answer all others.
+func crashingLeafs(calls *atomic.Int64) func(context.Context, LeafCall) LeafReply {
 	return func(ctx context.Context, call LeafCall) LeafReply {
 		if !strings.Contains(call.Request.Path, "deadly") {
 			return answered(ctx, call)
@@ -36,10 +36,11 @@
 	return g.Handle(context.Background(), &Request{ID: id, Key: quarantine.KeyOf(path), Host: "h", Path: path, Arrived: time.Now()})
 }
 
-// A request that had ended leafs was sent to all shards, and to second leafs, with each of its
-// attempts. Now the first attempt ends one leaf a shard at most, the trial one, and after it
-// the answer comes at once, unrun, with a hint; other requests are served.
-func TestRequestThatEndsLeafsIsRefused(t *testing.T) {
+// Guards against sending a request that has crashed leafs to all shards, and to second leafs,
+// with each of its attempts. The first attempt crashes at most one leaf per shard, the trial one;
+// after that the request is refused at once, without running and with a retry hint, while other
+// requests are served.
+func TestRequestThatCrashesLeafsIsRefused(t *testing.T) {
 	for _, tc := range []struct {
 		path                string
 		first               int64
@@ -52,7 +53,7 @@
 	} {
 		t.Run(tc.path, func(t *testing.T) {
 			var calls atomic.Int64
-			g := newGateway(t, 20, deadlyLeafs(&calls))
+			g := newGateway(t, 20, crashingLeafs(&calls))
 			require.Equal(t, tc.firstCode, attempt(g, tc.path).Code)
 			require.Eventually(t, func() bool { return calls.Load() == tc.first }, 10*time.Second, time.Millisecond)
 			for range tc.attempts - 2 {
@@ -60,7 +61,7 @@
 			}
 			before := calls.Load()
 			require.Equal(t, tc.lastCode, attempt(g, tc.path).Code)
-			require.Equal(t, before+1, calls.Load(), "a trial asks one leaf")
+			require.Equal(t, before+1, calls.Load(), "a trial calls one leaf")
 			for range 5 {
 				a := attempt(g, tc.path)
 				require.Equal(t, errcode.Quarantined, a.Code)
@@ -74,9 +75,9 @@
 	}
 }
 
-// A request that makes the leafs of one shard crash, and is answered by all others, is held
-// back as well: it is tried at the shard whose leafs ended.
-func TestRequestThatEndsTheLeafsOfOneShardIsRefused(t *testing.T) {
+// A request that crashes the leafs of one shard and is answered by all others is quarantined as
+// well: it is tried at the shard whose leafs crashed.
+func TestRequestThatCrashesLeafsOfOneShardIsRefused(t *testing.T) {
 	var ended atomic.Int64
 	g := newGateway(t, 20, func(ctx context.Context, call LeafCall) LeafReply {
 		if call.Service == "s7" && strings.Contains(call.Request.Path, "deadly") {
@@ -85,16 +86,16 @@
 		}
 		return answered(ctx, call)
 	})
-	require.Equal(t, errcode.OK, attempt(g, "/all/deadly").Code, "the least share is covered")
+	require.Equal(t, errcode.OK, attempt(g, "/all/deadly").Code, "the minimum share of shards is covered")
 	require.EqualValues(t, 2, ended.Load())
 	require.Equal(t, errcode.LeafsCrashed, attempt(g, "/all/deadly").Code)
 	require.Equal(t, errcode.Quarantined, attempt(g, "/all/deadly").Code)
 	require.EqualValues(t, 3, ended.Load())
 }
 
-// A request that was in flight by chance when leafs ended is tried at one leaf, and then served
-// whole.
-func TestSoundSuspectIsServed(t *testing.T) {
+// A request that happened to be in flight when leafs crashed is tried at one leaf and then
+// served completely.
+func TestHarmlessSuspectIsServedAfterTrial(t *testing.T) {
 	for _, path := range []string{"/all/x", "/one/x", "/hold/x"} {
 		g := newGateway(t, 20, answered)
 		for _, leaf := range []string{"a", "b", "c"} {
@@ -107,51 +108,52 @@
 	}
 }
 
-// Leafs went on with what waited in their queues after a query was known to end them. Once it
-// is given up, or others say that it ends leafs, all that is in flight is withdrawn.
-func TestQueryThatEndsLeafsIsWithdrawn(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		t.Run(fmt.Sprint("told by others ", told), func(t *testing.T) {
-			var ended, withdrawn atomic.Int64
+// Guards against leafs continuing with queued requests of a query that is known to crash them.
+// Once the query is given up, or other instances report that it crashes leafs, all its calls in
+// flight are cancelled.
+func TestQueryThatCrashesLeafsIsCancelled(t *testing.T) {
+	for _, reported := range []bool{false, true} {
+		t.Run(fmt.Sprint("reported by others ", reported), func(t *testing.T) {
+			var ended, cancelled atomic.Int64
 			g := newGateway(t, 20, func(ctx context.Context, _ LeafCall) LeafReply {
-				if !told && ended.Add(1) <= 3 {
+				if !reported && ended.Add(1) <= 3 {
 					return LeafReply{Outcome: replica.Ended}
 				}
 				<-ctx.Done()
-				withdrawn.Add(1)
+				cancelled.Add(1)
 				return LeafReply{Outcome: replica.Abandoned}
 			})
 			key := quarantine.KeyOf("/all/deadly")
-			if told {
+			if reported {
 				go g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
 			}
 			require.Contains(t, []errcode.Code{errcode.LeafsCrashed, errcode.Quarantined}, attempt(g, "/all/deadly").Code)
 			want := int64(17)
-			if told {
-				want = withdrawn.Load() // However many had been sent.
+			if reported {
+				want = cancelled.Load() // However many had been sent.
 			}
-			require.Eventually(t, func() bool { return withdrawn.Load() >= want }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return cancelled.Load() >= want }, 10*time.Second, time.Millisecond)
 		})
 	}
 }
 
-// A query that another instance hands on is refused here by what this instance knows.
-func TestQuarantineHoldsForQueriesOfOthers(t *testing.T) {
+// A query delegated by another instance is refused according to this instance's quarantine.
+func TestQuarantineAppliesToDelegatedQueries(t *testing.T) {
 	var calls atomic.Int64
-	g := newGateway(t, 20, deadlyLeafs(&calls))
+	g := newGateway(t, 20, crashingLeafs(&calls))
 	key := quarantine.KeyOf("/all/deadly")
 	g.quarantine.Learn(quarantine.Note{Key: key, Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
 	a, ok := g.Gather(t.Context(), &Request{ID: "r", Key: key, Host: "h", Path: "/all/deadly", Arrived: time.Now(), Timeout: time.Minute}, g.version(), func() bool { return true })
-	require.True(t, ok, "declined, the other instance would run it")
+	require.True(t, ok, "if it were declined, the other instance would run it")
 	require.Equal(t, errcode.Quarantined, a.Code)
 	require.Len(t, a.Shards, 20)
 	require.Equal(t, fanout.Withheld, a.Shards[0].MissingReason)
 	require.Zero(t, calls.Load())
 }
 
-// A trial whose caller leaves, or that brings no outcome in time, does not leave the request
-// tried for good, nor free to be tried at once.
-func TestTrialWithoutOutcome(t *testing.T) {
+// A trial whose caller disconnects, or that has no outcome in time, neither leaves the request
+// in trial forever nor allows another trial at once.
+func TestTrialWithoutOutcomeIsRepeatedLater(t *testing.T) {
 	g := newGateway(t, 20, func(ctx context.Context, _ LeafCall) LeafReply {
 		<-ctx.Done()
 		return LeafReply{Outcome: replica.Abandoned}
@@ -168,8 +170,9 @@
 	require.Equal(t, quarantine.Suspect, g.quarantine.Verdict(key, time.Now().Add(10*time.Second)))
 }
 
-// A query that leafs have answered is answered, whatever others say of it meanwhile.
-func TestReadyAnswerIsDelivered(t *testing.T) {
+// A query that leafs have answered is delivered even if others report meanwhile that it crashes
+// leafs.
+func TestAnsweredQueryIsDeliveredDespiteQuarantine(t *testing.T) {
 	key := quarantine.KeyOf("/all/x")
 	var g *Gateway
 	g = newGateway(t, 20, func(ctx context.Context, call LeafCall) LeafReply {
@@ -183,8 +186,8 @@
 	require.Equal(t, errcode.Quarantined, attempt(g, "/all/x").Code)
 }
 
-// A suspect for which no service is to be had stays free to be tried.
-func TestSuspectWithoutAServiceIsNotTried(t *testing.T) {
+// A suspect for which no service is available remains a suspect that may be tried.
+func TestSuspectWithoutServiceIsNotTried(t *testing.T) {
 	g := newGateway(t, 1, answered)
 	route := &routing.Route{Name: "none", Kind: routing.Repeatable, MaxAttempts: 2}
 	key := quarantine.KeyOf("none")
@@ -196,9 +199,10 @@
 	require.Equal(t, quarantine.Suspect, g.quarantine.Admit(key, time.Now()).Verdict)
 }
 
-// On a machine short of processor time nobody learned whether the leaf of a trial had ended: its
-// connection had only broken off, and the request was tried again every few seconds.
-func TestTrialThatBreaksOffCountsAsAnEnd(t *testing.T) {
+// Guards against repeated trials of a request that crashes leafs. On a machine short of processor
+// time it remains unknown whether the leaf of a trial has crashed, because only the loss of the
+// connection is seen; the request was then tried again every few seconds.
+func TestTrialWithLostConnectionCountsAsCrash(t *testing.T) {
 	for _, outcome := range []replica.Outcome{replica.Broken, replica.Crowded, replica.Ended} {
 		g := newGateway(t, 20, func(context.Context, LeafCall) LeafReply { return LeafReply{Outcome: outcome} })
 		key := quarantine.KeyOf("/all/x")
--- a/pkg/gateway/single.go
+++ b/pkg/gateway/single.go
@@ -11,32 +11,36 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// A second request of a repeatable single request is due after this part of
-// the route's target latency: late enough that a usual reply (a quarter of the
-// target) comes first, early enough that the second one is in time.
-const singleHedgePart = 0.55
+// singleHedgeFraction is the fraction of the route's target latency after which a second
+// request of a repeatable single request is sent: late enough for a usual reply (at a quarter of
+// the target) to arrive first, early enough for the second one to be in time.
+const singleHedgeFraction = 0.55
 
-// singleRun is one request to one leaf under way.
+// singleRun is the state of one request that goes to a single leaf.
 type singleRun struct {
-	g       *Gateway
-	caller  context.Context
-	calls   context.Context
-	req     *Request
-	route   *routing.Route
-	service string
-	end     time.Time
-	replies chan LeafReply
-	tried   []string
-	open    int
-	// ran: some attempt may have run.
-	ran  bool
-	last LeafReply
-	// trial: the request is suspected of ending leafs, and how it fares is still to be told.
-	trial bool
+	g *Gateway
+	// callerCtx ends when the caller disconnects, callCtx when leaf calls must end.
+	callerCtx context.Context
+	callCtx   context.Context
+	req       *Request
+	route     *routing.Route
+	service   string
+	// deadline is the time by which the answer must be sent.
+	deadline time.Time
+	replies  chan LeafReply
+	// triedLeafs are the IDs of the leafs called so far, inFlight is the number of open calls.
+	triedLeafs []string
+	inFlight   int
+	// mayHaveRun reports whether some attempt may have run.
+	mayHaveRun bool
+	// lastReply is the most recent reply of any attempt.
+	lastReply LeafReply
+	// trialPending reports that the request is a suspect whose trial has no result yet.
+	trialPending bool
 }
 
-// single runs a request that goes to one leaf.
-func (g *Gateway) single(ctx context.Context, req *Request, route *routing.Route, end time.Time) Answer {
+// runSingle runs a request that goes to one leaf.
+func (g *Gateway) runSingle(ctx context.Context, req *Request, route *routing.Route, deadline time.Time) Answer {
 	service := g.splitter.Pick(route)
 	if service == "" {
 		return g.refuse(req, route, errcode.ShardsUnavailable, g.opts.Load().RetryAfter)
@@ -45,23 +49,23 @@
 	if admission.Verdict == quarantine.Quarantined {
 		return g.refuseQuarantined(req, route, admission.RetryAfter)
 	}
-	// Calls still open when the answer is given, or the caller has left, are
-	// ended: their work is for nobody. Not so a request that may run once: what
-	// has begun is better finished than broken off half way.
-	calls := context.WithoutCancel(ctx)
+	// Calls that are still open when the answer is given, or when the caller has
+	// disconnected, are cancelled, since nobody needs their result. An at-most-once
+	// request is not cancelled: completing it is better than aborting it half way.
+	callCtx := context.WithoutCancel(ctx)
 	if route.Kind != routing.AtMostOnce {
 		var cancel context.CancelFunc
-		calls, cancel = context.WithCancel(ctx)
+		callCtx, cancel = context.WithCancel(ctx)
 		defer cancel()
 	}
 	run := &singleRun{
-		g: g, caller: ctx, calls: calls, req: req, route: route, service: service, end: end,
-		replies: make(chan LeafReply, max(route.MaxAttempts, 1)),
-		trial:   admission.Verdict == quarantine.Suspect,
+		g: g, callerCtx: ctx, callCtx: callCtx, req: req, route: route, service: service, deadline: deadline,
+		replies:      make(chan LeafReply, max(route.MaxAttempts, 1)),
+		trialPending: admission.Verdict == quarantine.Suspect,
 	}
 	defer run.endTrial()
-	if run.trial {
-		g.noteTrial(req, route, admission)
+	if run.trialPending {
+		g.logTrial(req, route, admission)
 	}
 	g.table.CountRequest(service, time.Now())
 	if !run.send("first") {
@@ -70,36 +74,36 @@
 	return run.wait()
 }
 
-// send places and sends the next attempt.
+// send selects a leaf for the next attempt, sends it, and reports whether it did.
 func (r *singleRun) send(why string) bool {
 	now := time.Now()
-	if len(r.tried) >= max(r.route.MaxAttempts, 1) {
+	if len(r.triedLeafs) >= max(r.route.MaxAttempts, 1) {
 		return false
 	}
-	if len(r.tried) > 0 && r.g.quarantine.Verdict(r.req.Key, now) != quarantine.Sound {
-		return false // It has ended leafs, and would end another one.
+	if len(r.triedLeafs) > 0 && r.g.quarantine.Verdict(r.req.Key, now) != quarantine.Sound {
+		return false // It has crashed leafs and would crash another one.
 	}
-	p, verdict := r.g.table.Place(r.service, r.route.Name, r.tried, now)
+	p, verdict := r.g.table.Place(r.service, r.route.Name, r.triedLeafs, now)
 	if verdict != replica.Placed {
 		return false
 	}
-	if len(r.tried) > 0 && !r.g.table.TakeSecond(r.service, now) {
+	if len(r.triedLeafs) > 0 && !r.g.table.TakeSecond(r.service, now) {
 		return false
 	}
-	entry := r.g.table.Begin(p, r.route.Name, now)
-	if entry == nil {
+	tracked := r.g.table.Begin(p, r.route.Name, now)
+	if tracked == nil {
 		return false
 	}
-	call := LeafCall{Leaf: p.Leaf, Service: r.service, Request: r.req, Deadline: r.end}
-	err := r.g.pool.Submit(func() { r.replies <- r.g.do(r.calls, call, entry) })
+	call := LeafCall{Leaf: p.Leaf, Service: r.service, Request: r.req, Deadline: r.deadline}
+	err := r.g.pool.Submit(func() { r.replies <- r.g.callLeaf(r.callCtx, call, tracked) })
 	if err != nil {
-		r.g.table.End(entry, replica.Abandoned, now)
+		r.g.table.End(tracked, replica.Abandoned, now)
 		return false
 	}
-	r.tried = append(r.tried, p.Leaf.ID)
-	r.open++
-	if len(r.tried) > 1 {
-		r.g.noteSecond(r.route, call, why)
+	r.triedLeafs = append(r.triedLeafs, p.Leaf.ID)
+	r.inFlight++
+	if len(r.triedLeafs) > 1 {
+		r.g.recordSecondRequest(r.route, call, why)
 	}
 	return true
 }
@@ -108,105 +112,104 @@
 func (r *singleRun) wait() Answer {
 	hedge := r.hedgeTimer()
 	defer hedge.Stop()
-	end := time.NewTimer(time.Until(r.end))
+	end := time.NewTimer(time.Until(r.deadline))
 	defer end.Stop()
 	for {
 		select {
 		case reply := <-r.replies:
-			if a, done := r.take(reply); done {
+			if a, done := r.handleReply(reply); done {
 				return a
 			}
 		case <-hedge.C:
 			r.send("slow")
 		case <-end.C:
-			return r.expired()
-		case <-r.caller.Done():
-			return r.g.callerLeft(r.req, r.route)
+			return r.timeoutAnswer()
+		case <-r.callerCtx.Done():
+			return r.g.callerDisconnected(r.req, r.route)
 		}
 	}
 }
 
-// hedgeTimer fires when a second request is due; never for requests that may
-// run once only.
+// hedgeTimer fires when a second request is due. It never fires within the deadline of a
+// request that is not repeatable.
 func (r *singleRun) hedgeTimer() *time.Timer {
-	wait := time.Until(r.end) + time.Hour
+	wait := time.Until(r.deadline) + time.Hour
 	if r.route.Kind == routing.Repeatable && r.route.TargetLatency > 0 {
-		wait = time.Duration(singleHedgePart * float64(r.route.TargetLatency))
+		wait = time.Duration(singleHedgeFraction * float64(r.route.TargetLatency))
 	}
 	return time.NewTimer(wait)
 }
 
-// take decides on one reply: whether it is the answer, or another leaf is
-// asked.
+// handleReply processes one reply, and returns the answer or sends the request to another leaf.
 //
-// A request that may run once is sent again only after a certain "not run". A
-// connection that ends after the request was written proves nothing: the leaf
-// may have run it and lost the answer, and a second leaf would run it again;
-// one notices two effects for one request. Its outcome is reported unknown.
-func (r *singleRun) take(reply LeafReply) (Answer, bool) {
-	r.open--
-	r.last = reply
-	if r.trial {
-		r.trial = false
-		r.g.trialEnded(r.req, trialOf(reply.Outcome))
+// An at-most-once request is sent again only if it certainly did not run. A connection that
+// ends after the request was written proves nothing: the leaf may have run it and lost the
+// answer. A second leaf would then run it again, and one request would have two effects. Its
+// outcome is reported as unknown.
+func (r *singleRun) handleReply(reply LeafReply) (Answer, bool) {
+	r.inFlight--
+	r.lastReply = reply
+	if r.trialPending {
+		r.trialPending = false
+		r.g.recordTrial(r.req, trialResult(reply.Outcome))
 	}
 	if reply.Outcome == replica.Answered {
 		return Answer{Code: errcode.OK, Relayed: &reply}, true
 	}
 	if !reply.Outcome.NotRun() {
-		r.ran = true
+		r.mayHaveRun = true
 	}
 	if r.route.Kind == routing.Repeatable || reply.Outcome.NotRun() {
-		if r.open == 0 && r.send("repeat") {
+		if r.inFlight == 0 && r.send("repeat") {
 			return Answer{}, false
 		}
 	}
-	if r.open > 0 {
+	if r.inFlight > 0 {
 		return Answer{}, false
 	}
-	return r.failed(), true
+	return r.failedAnswer(), true
 }
 
-// endTrial takes over that a trial brought no outcome.
+// endTrial records the result of a trial that ended without an outcome of its leaf call.
 func (r *singleRun) endTrial() {
 	switch {
-	case !r.trial:
-	case len(r.tried) == 0:
-		r.g.trialEnded(r.req, quarantine.Unsent)
+	case !r.trialPending:
+	case len(r.triedLeafs) == 0:
+		r.g.recordTrial(r.req, quarantine.Unsent)
 	default:
-		r.g.trialEnded(r.req, quarantine.Unresolved)
+		r.g.recordTrial(r.req, quarantine.Unresolved)
 	}
 }
 
-// failed is the answer when no attempt is open and none can follow.
-func (r *singleRun) failed() Answer {
-	if r.last.Outcome == replica.Failed {
-		return Answer{Code: errcode.OK, Relayed: &r.last}
+// failedAnswer returns the answer when no attempt is open and no further one can be sent.
+func (r *singleRun) failedAnswer() Answer {
+	if r.lastReply.Outcome == replica.Failed {
+		return Answer{Code: errcode.OK, Relayed: &r.lastReply}
 	}
-	a := r.unanswered()
-	a.LastFailure = &r.last
+	a := r.noReplyAnswer()
+	a.LastFailure = &r.lastReply
 	return a
 }
 
-// unanswered is the answer when no leaf replied for good.
-func (r *singleRun) unanswered() Answer {
-	if !r.ran {
+// noReplyAnswer returns the answer when no leaf has sent a usable reply.
+func (r *singleRun) noReplyAnswer() Answer {
+	if !r.mayHaveRun {
 		return r.g.refuse(r.req, r.route, errcode.ShardsUnavailable, r.g.opts.Load().RetryAfter)
 	}
-	return r.unknown(errcode.OutcomeUnknown)
+	return r.outcomeUnknownAnswer(errcode.OutcomeUnknown)
 }
 
-// expired is the answer when the time is up with an attempt open.
-func (r *singleRun) expired() Answer { return r.unknown(errcode.RequestTimeout) }
+// timeoutAnswer returns the answer when the deadline has passed with an attempt open.
+func (r *singleRun) timeoutAnswer() Answer { return r.outcomeUnknownAnswer(errcode.RequestTimeout) }
 
-// unknown answers a request that may have run and brought no answer.
-func (r *singleRun) unknown(code errcode.Code) Answer {
+// outcomeUnknownAnswer returns the answer to a request that may have run but has no reply.
+func (r *singleRun) outcomeUnknownAnswer(code errcode.Code) Answer {
 	if r.route.Kind == routing.Repeatable && code == errcode.OutcomeUnknown {
 		code = errcode.LeafFailed
 	}
-	r.g.log.Decision("request_failed", r.req.about(r.route.Name, oplog.Fields{
-		"kind": r.route.Kind.String(), "service": r.service, "leafs": r.tried,
-		"code": code.String(), "reason": code.Name(), "last_outcome": r.last.Outcome.String(),
+	r.g.log.Decision("request_failed", r.req.logFields(r.route.Name, oplog.Fields{
+		"kind": r.route.Kind.String(), "service": r.service, "leafs": r.triedLeafs,
+		"code": code.String(), "reason": code.Name(), "last_outcome": r.lastReply.Outcome.String(),
 		"after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
 	}))
 	return Answer{Code: code}
--- a/pkg/gateway/stats.go
+++ b/pkg/gateway/stats.go
@@ -12,9 +12,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// Stats are the gateway's counters and latency histograms
-// (docs/METRICS.md). Labels have few values, so that no route or leaf name
-// grows them.
+// Stats holds the gateway's counters and latency histograms (docs/METRICS.md). Label values
+// come from small fixed sets: neither routes nor leafs are labels.
 type Stats struct {
 	set *metrics.Set
 }
@@ -22,8 +21,8 @@
 // NewStats registers the gateway's metrics in set.
 func NewStats(set *metrics.Set) *Stats { return &Stats{set: set} }
 
-// watchQuarantine registers what is known of requests that end leafs.
-func (s *Stats) watchQuarantine(table *quarantine.Table) {
+// registerQuarantine registers the gauges of the quarantine table.
+func (s *Stats) registerQuarantine(table *quarantine.Table) {
 	gauge := func(name string, f func() float64) { s.set.NewGauge(name, f) }
 	gauge("gateway_requests_suspect", func() float64 { return float64(table.Count(quarantine.Suspect, time.Now())) })
 	gauge("gateway_requests_quarantined", func() float64 { return float64(table.Count(quarantine.Quarantined, time.Now())) })
@@ -43,11 +42,11 @@
 	s.set.GetOrCreateCounter(fmt.Sprintf(`gateway_refusals_total{code=%q}`, code.String())).Inc()
 }
 
-func (s *Stats) partial() {
+func (s *Stats) partialAnswer() {
 	s.set.GetOrCreateCounter(`gateway_partial_answers_total`).Inc()
 }
 
-func (s *Stats) second(why string) {
+func (s *Stats) secondRequest(why string) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`gateway_second_requests_total{why=%q}`, why)).Inc()
 }
 
@@ -61,14 +60,15 @@
 	s.set.GetOrCreateCounter(`gateway_leaf_loads_malformed_total`).Inc()
 }
 
-// emptied records how long after an evacuation was heard of the last request in that zone ended.
-func (s *Stats) emptied(took time.Duration) {
+// zoneEmptied records the time from the start of a zone's evacuation to the end of its last
+// request.
+func (s *Stats) zoneEmptied(took time.Duration) {
 	s.set.GetOrCreateHistogram(`gateway_evacuation_seconds`).Update(took.Seconds())
 }
 
-func (s *Stats) left() { s.set.GetOrCreateCounter(`gateway_callers_left_total`).Inc() }
+func (s *Stats) callerDisconnected() { s.set.GetOrCreateCounter(`gateway_callers_left_total`).Inc() }
 
-func (s *Stats) leaf(outcome replica.Outcome, took time.Duration) {
+func (s *Stats) leafCall(outcome replica.Outcome, took time.Duration) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`gateway_leaf_calls_total{outcome=%q}`, outcome.String())).Inc()
 	if outcome == replica.Answered {
 		s.set.GetOrCreateHistogram(`gateway_leaf_reply_seconds`).Update(took.Seconds())
--- a/pkg/gateway/tick.go
+++ b/pkg/gateway/tick.go
@@ -10,20 +10,20 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// probeTimeout bounds a health check of a suspected zone: a new connection
-// between zones and a pause of the leaf.
+// probeTimeout is the timeout of a health check in a suspected zone. It allows for a new
+// connection between zones and a pause of the leaf.
 const probeTimeout = 400 * time.Millisecond
 
-// isolatedAfter is how long an instance must be isolated before it says so: a
-// false suspicion of a zone ends with the first probe, within 300 ms.
-const isolatedAfter = 250 * time.Millisecond
+// isolationDelay is how long an instance must be isolated before it reports so: a false
+// suspicion of a zone ends with the first probe, within 300 ms.
+const isolationDelay = 250 * time.Millisecond
 
-// Tick runs the systems over the tables: lapsed leafs leave, zones that fell
-// silent are marked and probed, and isolation is noticed.
+// Tick runs the periodic tasks: it removes leafs that did not return, suspects and probes
+// silent zones, updates the isolation state and cleans up the quarantine table.
 func (g *Gateway) Tick(now time.Time) {
 	for _, id := range g.table.Sweep(now) {
 		g.leafs.RemoveLeaf(id)
-		g.log.State("leaf_gone", oplog.Fields{"leaf": id, "reason": "not back after the store's return"})
+		g.log.State("leaf_gone", oplog.Fields{"leaf": id, "reason": "not registered again after the store recovered"})
 	}
 	for _, zone := range g.table.SuspectZones(now) {
 		g.log.State("zone_lost", oplog.Fields{"suspected_zone": zone, "reason": "no reply, several leafs silent or down"})
@@ -31,12 +31,12 @@
 	for _, leaf := range g.table.ZoneProbes(now) {
 		go g.probeZone(leaf)
 	}
-	g.noticeIsolation(now)
-	g.noticeEmptied(now)
+	g.updateIsolation(now)
+	g.recordEmptiedZones(now)
 	g.quarantine.Sweep(now)
 }
 
-// probeZone checks one leaf of a suspected zone.
+// probeZone checks the health of one leaf of a suspected zone.
 func (g *Gateway) probeZone(leaf replica.Leaf) {
 	by := time.Now().Add(probeTimeout)
 	if !g.leafs.Probe(context.Background(), leaf, g.healthPath(leaf), by) {
@@ -47,8 +47,7 @@
 	}
 }
 
-// healthPath is where a leaf's health is asked for; "" without a configuration
-// that says so.
+// healthPath returns the path of a leaf's health check, "" if no configuration defines it.
 func (g *Gateway) healthPath(leaf replica.Leaf) string {
 	c := g.config.Load()
 	if c == nil || len(leaf.Services) == 0 {
@@ -57,15 +56,15 @@
 	return c.Services[leaf.Services[0]].HealthPath
 }
 
-// noticeIsolation notes whether the instance is cut off from so many leafs
-// that some gather route cannot be served.
+// updateIsolation logs whether the instance is cut off from so many leafs that some gather route
+// cannot be served.
 //
-// When an availability zone is cut off, its callers still reach its instances,
-// which can only refuse: some shards have no leaf in the zone. The instances of
-// other zones could serve them. An isolated instance that says so is taken out
-// by the balancer, and its callers go where they are served.
-func (g *Gateway) noticeIsolation(now time.Time) {
-	if !g.isolated() {
+// When an availability zone is cut off, its callers still reach its instances, which can only
+// refuse because some shards have no leaf in the zone. The instances of other zones could serve
+// these callers. The load balancer takes an instance that reports isolation out of service, and
+// its callers connect to another zone.
+func (g *Gateway) updateIsolation(now time.Time) {
+	if !g.gatherRouteUnservable() {
 		if g.isolatedSince.Swap(nil) != nil {
 			g.log.State("isolation_ended", oplog.Fields{})
 		}
@@ -76,9 +75,9 @@
 	}
 }
 
-// isolated reports whether some gather route lacks too many shards because
-// zones are suspected.
-func (g *Gateway) isolated() bool {
+// gatherRouteUnservable reports whether some gather route lacks too many shards because zones are
+// suspected.
+func (g *Gateway) gatherRouteUnservable() bool {
 	c := g.config.Load()
 	if c == nil || !g.table.Cut() {
 		return false
@@ -88,7 +87,7 @@
 		if r.Kind == routing.Gather {
 			need := fanout.Need(len(r.Shards), r.MinShare)
 			servable, reachable := g.table.Servable(r.Shards)
-			// Shards that no instance may ask do not isolate this one.
+			// Shards that no instance may call do not isolate this one.
 			lacking = reachable < need && servable >= need
 		}
 		return !lacking
@@ -96,8 +95,8 @@
 	return lacking
 }
 
-// Isolated reports whether callers are better served by another zone.
+// Isolated reports whether callers should be sent to another zone.
 func (g *Gateway) Isolated(now time.Time) bool {
 	since := g.isolatedSince.Load()
-	return since != nil && now.Sub(*since) >= isolatedAfter
+	return since != nil && now.Sub(*since) >= isolationDelay
 }
