--- a/pkg/leafconn/leafconn_test.go
+++ b/pkg/leafconn/leafconn_test.go
@@ -17,8 +17,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// serve runs a raw leaf: f gets each connection with the requests on it.
-func serve(t *testing.T, f func(conn net.Conn, next func() *http.Request)) string {
+// serveLeaf runs a leaf on raw TCP: f handles each connection and reads its requests with next.
+func serveLeaf(t *testing.T, f func(conn net.Conn, next func() *http.Request)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -45,24 +45,24 @@
 	return ln.Addr().String()
 }
 
-func pool() *Pool {
+func newPool() *Pool {
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 5, Burst: 20, Buffer: 64})
 	return New(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxBody: 1000, Log: log})
 }
 
-func request() *http.Request {
+func newRequest() *http.Request {
 	return &http.Request{Method: "GET", Host: "h", URL: &url.URL{Opaque: "/x"}, Header: http.Header{}, ProtoMajor: 1, ProtoMinor: 1}
 }
 
 func anyReply(*Reply) error { return nil }
 
-// send makes one call with the given time.
+// send makes one call with the given timeout.
 func send(p *Pool, addr string, within time.Duration) (*Reply, Outcome, error) {
-	return p.RoundTrip(context.Background(), "leaf", addr, request(), time.Now().Add(within), anyReply)
+	return p.RoundTrip(context.Background(), "leaf", addr, newRequest(), time.Now().Add(within), anyReply)
 }
 
-// answerAll answers every request on a connection with text.
-func answerAll(text string) func(net.Conn, func() *http.Request) {
+// replyToAll sends text in reply to every request on a connection.
+func replyToAll(text string) func(net.Conn, func() *http.Request) {
 	return func(conn net.Conn, next func() *http.Request) {
 		for next() != nil {
 			_, _ = io.WriteString(conn, text)
@@ -72,96 +72,96 @@
 
 const okReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Which connections are kept, and what is certain about a request, by what the
-// leaf does.
-func TestFates(t *testing.T) {
+// Checks for each behaviour of a leaf which outcome is reported, and whether the connection is
+// kept.
+func TestOutcomeByLeafBehaviour(t *testing.T) {
 	type leafFunc = func(net.Conn, func() *http.Request)
 	for name, tc := range map[string]struct {
 		leaf  leafFunc
 		want  Outcome
 		dials int64
 	}{
-		"kept":               {answerAll(okReply), Replied, 1},
-		"interim reply":      {answerAll("HTTP/1.1 100 Continue\r\n\r\n" + okReply), Replied, 1},
-		"leaf asks to close": {answerAll("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), Replied, 2},
-		"bytes behind":       {answerAll(okReply + okReply), Replied, 2},
-		"no idle time":       {answerAll("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1, max=5\r\nContent-Length: 0\r\n\r\n"), Replied, 1},
-		"garbage":            {answerAll("no http\r\n\r\n"), ReplyLost, 2},
-		"too large":          {answerAll("HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n" + fmt.Sprintf("%01001d", 0)), ReplyLost, 2},
-		"closes unanswered":  {func(_ net.Conn, next func() *http.Request) { next() }, ReplyLostOnNewConn, 2},
-		"breaks off": {func(conn net.Conn, next func() *http.Request) {
+		"kept":                   {replyToAll(okReply), Replied, 1},
+		"interim reply":          {replyToAll("HTTP/1.1 100 Continue\r\n\r\n" + okReply), Replied, 1},
+		"leaf asks to close":     {replyToAll("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), Replied, 2},
+		"bytes after the reply":  {replyToAll(okReply + okReply), Replied, 2},
+		"short idle timeout":     {replyToAll("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1, max=5\r\nContent-Length: 0\r\n\r\n"), Replied, 1},
+		"no HTTP reply":          {replyToAll("no http\r\n\r\n"), ReplyLost, 2},
+		"too large":              {replyToAll("HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n" + fmt.Sprintf("%01001d", 0)), ReplyLost, 2},
+		"closes without a reply": {func(_ net.Conn, next func() *http.Request) { next() }, ReplyLostOnNewConn, 2},
+		"closes within a reply": {func(conn net.Conn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 		}, ReplyLost, 2},
-		"silent": {func(_ net.Conn, next func() *http.Request) { next(); next() }, TimedOut, 2},
+		"sends nothing": {func(_ net.Conn, next func() *http.Request) { next(); next() }, TimedOut, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := pool()
-			addr := serve(t, tc.leaf)
+			p := newPool()
+			addr := serveLeaf(t, tc.leaf)
 			for range 2 {
-				_, fate, err := send(p, addr, 300*time.Millisecond)
-				require.Equal(t, tc.want, fate, "%v", err)
+				_, outcome, err := send(p, addr, 300*time.Millisecond)
+				require.Equal(t, tc.want, outcome, "%v", err)
 			}
 			require.Equal(t, tc.dials, p.Stats.Dials.Load())
 		})
 	}
 }
 
-// Symptom: a request waits to its deadline for a leaf that has started again. Sequence:
-// the leaf is known to have a new incarnation while a request is in flight on a
-// connection that stays silent. Cause: only idle connections were closed.
-func TestLostLeafEndsCallsInFlight(t *testing.T) {
-	p := pool()
+// Guards against a request waiting until its deadline for a leaf that has restarted. The leaf's
+// new incarnation becomes known while a request is in flight on a connection that stays silent;
+// only idle connections were closed.
+func TestCloseAllEndsCallsInFlight(t *testing.T) {
+	p := newPool()
 	reached := make(chan struct{})
-	addr := serve(t, func(_ net.Conn, next func() *http.Request) {
+	addr := serveLeaf(t, func(_ net.Conn, next func() *http.Request) {
 		next()
 		close(reached)
 		next()
 	})
-	fate := make(chan Outcome, 1)
+	outcome := make(chan Outcome, 1)
 	go func() {
 		_, got, _ := send(p, addr, time.Minute)
-		fate <- got
+		outcome <- got
 	}()
 	<-reached
 	p.CloseAll("other")
 	p.CloseAll("leaf")
-	require.Equal(t, ReplyLost, <-fate, "it may have run")
+	require.Equal(t, ReplyLost, <-outcome, "it may have run")
 	require.Zero(t, p.Stats.OpenConns.Load())
 	require.Empty(t, p.busy)
 }
 
-func TestNoConnectionIsNotSent(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	require.NoError(t, ln.Close())
-	_, fate, err := send(pool(), addr, time.Second)
+	_, outcome, err := send(newPool(), addr, time.Second)
 	require.Error(t, err)
-	require.Equal(t, NotSent, fate)
+	require.Equal(t, NotSent, outcome)
 }
 
 func TestInvalidReplyClosesTheConnection(t *testing.T) {
-	p := pool()
-	addr := serve(t, answerAll(okReply))
+	p := newPool()
+	addr := serveLeaf(t, replyToAll(okReply))
 	wrong := errors.New("other request")
-	_, fate, err := p.RoundTrip(context.Background(), "leaf", addr, request(), time.Now().Add(time.Second), func(*Reply) error { return wrong })
+	_, outcome, err := p.RoundTrip(context.Background(), "leaf", addr, newRequest(), time.Now().Add(time.Second), func(*Reply) error { return wrong })
 	require.ErrorIs(t, err, wrong)
-	require.Equal(t, ReplyLost, fate)
+	require.Equal(t, ReplyLost, outcome)
 	require.Zero(t, p.Stats.OpenConns.Load())
 }
 
-// Symptom: a request fails, or is answered with another's reply, because its
-// kept connection was closed or written to while it was idle.
+// Guards against a request that fails, or gets the reply to another one, because its kept
+// connection was closed or received data while it was idle.
 func TestIdleConnectionIsCheckedBeforeUse(t *testing.T) {
 	for name, idle := range map[string]func(net.Conn){
 		"closed by the leaf": func(c net.Conn) { _ = c.Close() },
 		"late second reply":  func(c net.Conn) { _, _ = io.WriteString(c, okReply) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := pool()
+			p := newPool()
 			done := make(chan struct{}, 2)
-			addr := serve(t, func(conn net.Conn, next func() *http.Request) {
+			addr := serveLeaf(t, func(conn net.Conn, next func() *http.Request) {
 				for next() != nil {
 					_, _ = io.WriteString(conn, okReply)
 					time.Sleep(20 * time.Millisecond)
@@ -170,9 +170,9 @@
 				}
 			})
 			for range 2 {
-				_, fate, err := send(p, addr, time.Second)
+				_, outcome, err := send(p, addr, time.Second)
 				require.NoError(t, err)
-				require.Equal(t, Replied, fate)
+				require.Equal(t, Replied, outcome)
 				<-done
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -182,12 +182,12 @@
 	}
 }
 
-// Cancelling closes the connection, which is what tells a leaf to stop.
-func TestCancelReachesTheLeaf(t *testing.T) {
-	p := pool()
+// Cancelling a request closes its connection, which tells the leaf to stop.
+func TestCancellationClosesConnection(t *testing.T) {
+	p := newPool()
 	closed := make(chan struct{})
 	got := make(chan struct{})
-	addr := serve(t, func(_ net.Conn, next func() *http.Request) {
+	addr := serveLeaf(t, func(_ net.Conn, next func() *http.Request) {
 		next()
 		close(got)
 		next()
@@ -198,17 +198,17 @@
 		<-got
 		cancel()
 	}()
-	_, fate, err := p.RoundTrip(ctx, "leaf", addr, request(), time.Now().Add(10*time.Second), anyReply)
+	_, outcome, err := p.RoundTrip(ctx, "leaf", addr, newRequest(), time.Now().Add(10*time.Second), anyReply)
 	require.Error(t, err)
-	require.Equal(t, Cancelled, fate)
+	require.Equal(t, Cancelled, outcome)
 	<-closed
 }
 
-// A leaf's other connections are dropped with one that went silent.
-func TestSilenceDropsIdleConnections(t *testing.T) {
-	p := pool()
+// When one connection to a leaf times out, the idle ones are closed too.
+func TestTimeoutClosesIdleConnections(t *testing.T) {
+	p := newPool()
 	silent := make(chan struct{})
-	addr := serve(t, func(conn net.Conn, next func() *http.Request) {
+	addr := serveLeaf(t, func(conn net.Conn, next func() *http.Request) {
 		for next() != nil {
 			select {
 			case <-silent:
@@ -226,14 +226,14 @@
 	require.NoError(t, <-both)
 	require.EqualValues(t, 2, p.Stats.OpenConns.Load())
 	close(silent)
-	_, fate, _ := send(p, addr, 50*time.Millisecond)
-	require.Equal(t, TimedOut, fate)
+	_, outcome, _ := send(p, addr, 50*time.Millisecond)
+	require.Equal(t, TimedOut, outcome)
 	require.Zero(t, p.Stats.OpenConns.Load())
 }
 
-func TestSweepAndDrop(t *testing.T) {
-	p := pool()
-	addr := serve(t, answerAll(okReply))
+func TestSweepAndCloseIdle(t *testing.T) {
+	p := newPool()
+	addr := serveLeaf(t, replyToAll(okReply))
 	_, _, err := send(p, addr, time.Second)
 	require.NoError(t, err)
 	p.Sweep(time.Now())
@@ -246,25 +246,25 @@
 	require.Zero(t, p.Stats.OpenConns.Load())
 }
 
-func TestAnnouncedIdle(t *testing.T) {
+func TestParseKeepAlive(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"": 0, "timeout=5": 5 * time.Second, "max=3, timeout=12": 12 * time.Second,
 		"Timeout = 2": 2 * time.Second, "timeout": 0, "timeout=0": 0,
 	} {
-		got, err := announcedIdle(header)
+		got, err := parseKeepAlive(header)
 		require.NoError(t, err, header)
 		require.Equal(t, want, got, header)
 	}
 	for _, header := range []string{"timeout=x", "timeout=-1"} {
-		got, err := announcedIdle(header)
+		got, err := parseKeepAlive(header)
 		require.Error(t, err, header)
 		require.Zero(t, got, header)
 	}
 }
 
-// A leaf whose process ends with a request in hand is told from one that only closes the
+// A leaf whose process ends while it has a request differs from one that only closes the
 // connection: nothing listens at its address any more.
-func TestEndedLeafIsToldFromAClosedConnection(t *testing.T) {
+func TestCrashedLeafIsDistinguishedFromClosedConnection(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -280,8 +280,8 @@
 			}
 			_ = conn.Close()
 		}()
-		_, fate, err := send(pool(), ln.Addr().String(), time.Minute)
+		_, outcome, err := send(newPool(), ln.Addr().String(), time.Minute)
 		require.Error(t, err)
-		require.Equal(t, ends, fate == LeafCrashed, "fate %d", fate)
+		require.Equal(t, ends, outcome == LeafCrashed, "outcome %d", outcome)
 	}
 }
--- a/pkg/leafconn/pool.go
+++ b/pkg/leafconn/pool.go
@@ -1,8 +1,7 @@
-// Package leafconn keeps the HTTP/1.1 connections to leafs. It exists because
-// a stock client hides what a query tier must know: whether a failed request
-// was sent at all, and whether a connection carries bytes that belong to no
-// request. Requests are written and replies parsed by net/http's codec; which
-// leaf is asked, and how often, is decided elsewhere.
+// Package leafconn manages the HTTP/1.1 connections to leafs. A stock HTTP client does not report
+// what a query tier must know: whether a failed request was sent at all, and whether a connection
+// carries bytes that belong to no request. Requests are written and replies parsed by the codec
+// of net/http. Which leaf is called, and how often, is decided elsewhere.
 package leafconn
 
 import (
@@ -16,83 +15,86 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// Options bound the connections.
+// Options are the settings of a Pool.
 type Options struct {
-	// DialTimeout bounds a new connection.
+	// DialTimeout is the timeout for opening a connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that were not used, unless the leaf
-	// announced a shorter time.
+	// IdleTimeout is the time after which an unused connection is closed, unless the leaf
+	// announced a shorter one.
 	IdleTimeout time.Duration
-	// MaxBody bounds a reply's body in bytes.
+	// MaxBody is the maximum size of a reply's body in bytes.
 	MaxBody int64
-	// Log takes what is malformed in replies.
+	// Log receives an event for each malformed Keep-Alive header in a reply.
 	Log *oplog.Log
 }
 
-// idleMargin is kept back from the idle time that a leaf announces, so that a
-// request does not cross the leaf's close. It covers a round trip between
-// zones and a late timer.
+// idleMargin is subtracted from the idle timeout that a leaf announces, so that a request is not
+// sent while the leaf closes the connection. It covers a round trip between zones and a late
+// timer.
 const idleMargin = 500 * time.Millisecond
 
-// readBuffer holds a usual reply (0.1 to 3 KB) whole; larger ones are read in
-// pieces.
-const readBuffer = 2048
+// readBufferSize is the read buffer of a connection in bytes. Usual replies are 0.1 to 3 KB;
+// replies that exceed the buffer are read in several pieces.
+const readBufferSize = 2048
 
-// Stats count what the pool did.
+// Stats holds the counters of a Pool.
 type Stats struct {
-	// Dials counts new connections, DialErrors those that failed, Reuses
-	// requests on kept connections.
+	// Dials counts attempts to open a connection, DialErrors those that failed, and Reuses the
+	// requests sent on a kept connection.
 	Dials      atomic.Int64
 	DialErrors atomic.Int64
 	Reuses     atomic.Int64
-	// StrayDrops counts connections dropped for bytes or replies that belong
-	// to no request, or found closed.
+	// StrayDrops counts connections closed because they carried bytes or replies that belong
+	// to no request, or because the leaf had closed them.
 	StrayDrops atomic.Int64
-	// OpenConns is how many connections are open.
+	// OpenConns is the number of open connections.
 	OpenConns atomic.Int64
 }
 
-// Pool holds the idle connections of all leafs, by leaf ID: a restarted leaf
-// at the same address never gets an old incarnation's connection.
+// Pool holds the connections to all leafs by leaf ID, so that a restarted leaf at the same
+// address never gets a connection of its previous incarnation.
 type Pool struct {
 	opts   Options
 	dialer net.Dialer
 	Stats  Stats
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the connections without a request, by leaf ID, in the order in which they were
+	// returned.
 	idle map[string][]*conn
-	// busy are the connections with a request on them.
+	// busy holds the connections with a request in flight, by leaf ID.
 	busy map[string]map[*conn]struct{}
 }
 
 // conn is one connection to a leaf.
 type conn struct {
 	net.Conn
-	leaf      string
-	br        *bufio.Reader
+	leaf string
+	br   *bufio.Reader
+	// idleUntil is when the connection is closed unless it is used before.
 	idleUntil time.Time
-	// proven: it has carried the head of a reply.
-	proven bool
-	// announced is the idle time that the leaf announced; zero: none.
-	announced time.Duration
+	// hasReplied reports that the header of a reply was received on the connection.
+	hasReplied bool
+	// keepAlive is the idle timeout that the leaf announced; zero: none.
+	keepAlive time.Duration
 }
 
 // New returns an empty pool.
 func New(opts Options) *Pool {
 	return &Pool{
 		opts: opts,
-		// Every call sets a read deadline, so no keep-alive probes are
-		// needed to notice a dead leaf.
+		// Every call sets a read deadline, so no TCP keep-alive probes are needed to
+		// detect a dead leaf.
 		dialer: net.Dialer{Timeout: opts.DialTimeout, KeepAlive: -1},
 		idle:   make(map[string][]*conn),
 		busy:   make(map[string]map[*conn]struct{}),
 	}
 }
 
-// get returns a connection to a leaf, an idle one if there is a sound one.
+// get returns a connection to a leaf: an idle one that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context, leaf, addr string, now time.Time) (*conn, error) {
 	for {
-		c := p.takeIdle(leaf)
+		c := p.popIdle(leaf)
 		if c == nil {
 			return p.dial(ctx, leaf, addr)
 		}
@@ -100,7 +102,7 @@
 			p.close(c)
 			continue
 		}
-		if !quiet(c) {
+		if !isIdle(c) {
 			p.Stats.StrayDrops.Add(1)
 			p.close(c)
 			continue
@@ -110,8 +112,8 @@
 	}
 }
 
-// takeIdle takes the connection used last, so that spare ones age out.
-func (p *Pool) takeIdle(leaf string) *conn {
+// popIdle returns the most recently used idle connection, so that surplus ones expire.
+func (p *Pool) popIdle(leaf string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[leaf]
@@ -120,20 +122,20 @@
 	}
 	c := list[len(list)-1]
 	p.idle[leaf] = list[:len(list)-1]
-	p.use(c)
+	p.markBusy(c)
 	return c
 }
 
-// use notes that a request is on c; mu is held.
-func (p *Pool) use(c *conn) {
+// markBusy records that a request is in flight on c. p.mu must be held.
+func (p *Pool) markBusy(c *conn) {
 	if p.busy[c.leaf] == nil {
 		p.busy[c.leaf] = make(map[*conn]struct{})
 	}
 	p.busy[c.leaf][c] = struct{}{}
 }
 
-// unuse notes that no request is on c any more; mu is held.
-func (p *Pool) unuse(c *conn) {
+// unmarkBusy records that no request is in flight on c any more. p.mu must be held.
+func (p *Pool) unmarkBusy(c *conn) {
 	delete(p.busy[c.leaf], c)
 	if len(p.busy[c.leaf]) == 0 {
 		delete(p.busy, c.leaf)
@@ -148,18 +150,18 @@
 		return nil, err
 	}
 	p.Stats.OpenConns.Add(1)
-	c := &conn{Conn: raw, leaf: leaf, br: bufio.NewReaderSize(raw, readBuffer)}
+	c := &conn{Conn: raw, leaf: leaf, br: bufio.NewReaderSize(raw, readBufferSize)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.use(c)
+	p.markBusy(c)
 	return c, nil
 }
 
-// put keeps a connection whose reply was read whole.
+// put returns a connection to the pool after its reply was read completely.
 func (p *Pool) put(c *conn, now time.Time) {
 	keep := p.opts.IdleTimeout
-	if c.announced > 0 {
-		keep = min(keep, c.announced-idleMargin)
+	if c.keepAlive > 0 {
+		keep = min(keep, c.keepAlive-idleMargin)
 	}
 	if keep <= 0 {
 		p.close(c)
@@ -168,17 +170,17 @@
 	c.idleUntil = now.Add(keep)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unuse(c)
+	p.unmarkBusy(c)
 	p.idle[c.leaf] = append(p.idle[c.leaf], c)
 }
 
-// close ends a connection; a leaf drops the work of a closed one.
+// close closes a connection, which makes the leaf drop the request in flight on it.
 func (p *Pool) close(c *conn) {
 	p.mu.Lock()
-	p.unuse(c)
+	p.unmarkBusy(c)
 	p.mu.Unlock()
 	p.Stats.OpenConns.Add(-1)
-	_ = c.Close() // Nothing is buffered for writing; an error changes nothing.
+	_ = c.Close() // No writes are buffered, so the error can be ignored.
 }
 
 // CloseIdle closes the idle connections to a leaf.
@@ -192,23 +194,23 @@
 	}
 }
 
-// CloseAll ends all connections to a leaf, also those with a request on them.
+// CloseAll closes all connections to a leaf, including those with a request in flight.
 //
-// A leaf that crashed behind a cut and started again never answers what was in flight,
-// and its old connections stay silent without an error; one notices callers that wait
-// to their deadline for a leaf that has long been back.
+// A leaf that crashed while cut off from the network and then restarted never answers the
+// requests that were in flight, and its old connections stay silent without an error. Callers
+// would wait until their deadline for a leaf that has been available again for a long time.
 func (p *Pool) CloseAll(leaf string) {
 	p.CloseIdle(leaf)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.busy[leaf] {
-		// The request's own goroutine sees the end, and counts it.
+		// The goroutine of the request sees the closed connection and counts it.
 		_ = c.Conn.Close()
 	}
 }
 
-// Sweep closes the connections whose idle time is over. Without it, leafs that
-// get no requests any more would keep a part of their limit taken.
+// Sweep closes the connections whose idle timeout has expired. Without it, idle connections to
+// leafs that no longer get requests would keep counting towards the leafs' connection limits.
 func (p *Pool) Sweep(now time.Time) {
 	var old []*conn
 	p.mu.Lock()
--- a/pkg/leafconn/roundtrip.go
+++ b/pkg/leafconn/roundtrip.go
@@ -16,44 +16,44 @@
 	"github.com/indigoyoke/indigoyoke/pkg/sock"
 )
 
-// Outcome is what is certain about a request that brought no reply.
+// Outcome is what is known about a request after RoundTrip.
 type Outcome int
 
 const (
-	// Replied: a whole reply was read.
+	// Replied means that a complete reply was read.
 	Replied Outcome = iota
-	// NotSent: no byte of the request left; it did not run.
+	// NotSent means that no byte of the request was sent; it did not run.
 	NotSent
-	// ReplyLost: the request was sent, and the connection ended or brought no
-	// valid reply; it may have run.
+	// ReplyLost means that the request was sent, and the connection ended or delivered no
+	// valid reply; the request may have run.
 	ReplyLost
-	// ReplyLostOnNewConn: the same, where the leaf ended a connection that had carried no
-	// reply yet, without a word.
+	// ReplyLostOnNewConn is the same in the case that the leaf closed, without sending
+	// anything, a connection that had carried no reply yet.
 	ReplyLostOnNewConn
-	// TimedOut: the request was sent, and nothing came in time.
+	// TimedOut means that the request was sent and no reply was read in time.
 	TimedOut
-	// Cancelled: given up by the caller's context.
+	// Cancelled means that the request was cancelled through its context.
 	Cancelled
-	// LeafCrashed: the request was sent, the connection ended, and nothing listens at the
-	// leaf's address any more: its process ended while it had the request.
+	// LeafCrashed means that the request was sent, the connection ended, and nothing listens at
+	// the leaf's address any more: the leaf's process ended while it had the request.
 	LeafCrashed
 )
 
-// Reply is a whole reply. Close-delimited bodies that ended with a reset are
-// never returned as one.
+// Reply is a complete reply. A close-delimited body that ended with a connection reset is never
+// returned as one.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// errBodyTooLarge bounds what a leaf can make this process hold.
+// errBodyTooLarge limits the memory that a leaf can make this process allocate.
 var errBodyTooLarge = errors.New("reply body over the limit")
 
-// RoundTrip sends one request to a leaf and reads its reply until readBy. The
-// connection is kept only after a whole, valid reply with nothing behind it;
-// valid says whether the reply belongs to this request.
-func (p *Pool) RoundTrip(ctx context.Context, leaf, addr string, req *http.Request, readBy time.Time, valid func(*Reply) error) (*Reply, Outcome, error) {
+// RoundTrip sends one request to a leaf and reads its reply until readBy. The connection is
+// kept only after a complete, valid reply with no bytes following it; validate returns an error
+// if the reply does not belong to this request.
+func (p *Pool) RoundTrip(ctx context.Context, leaf, addr string, req *http.Request, readBy time.Time, validate func(*Reply) error) (*Reply, Outcome, error) {
 	now := time.Now()
 	c, err := p.get(ctx, leaf, addr, now)
 	if err != nil {
@@ -62,40 +62,40 @@
 		}
 		return nil, NotSent, err
 	}
-	reply, fate, err := p.exchange(ctx, c, req, readBy, valid)
+	reply, outcome, err := p.exchange(ctx, c, req, readBy, validate)
 	if err != nil {
 		p.close(c)
-		if fate == TimedOut {
-			// Connections can go silent without an error; the leaf's other
-			// idle ones are suspected with it, at the price of new ones.
+		if outcome == TimedOut {
+			// Connections can go silent without an error. The idle ones to the same leaf
+			// may be affected too; closing them only costs new connections.
 			p.CloseIdle(leaf)
 		}
-		if (fate == ReplyLost || fate == ReplyLostOnNewConn) && ended(err) && sock.RefusesConnections(ctx, addr, sock.RefusalTimeout) {
-			fate = LeafCrashed
+		if (outcome == ReplyLost || outcome == ReplyLostOnNewConn) && isConnClosed(err) && sock.RefusesConnections(ctx, addr, sock.RefusalTimeout) {
+			outcome = LeafCrashed
 		}
-		return nil, fate, err
+		return nil, outcome, err
 	}
 	return reply, Replied, nil
 }
 
-// exchange writes the request and reads the reply on c, and keeps c if it can
-// be used again. On an error the caller closes c.
-func (p *Pool) exchange(ctx context.Context, c *conn, req *http.Request, readBy time.Time, valid func(*Reply) error) (*Reply, Outcome, error) {
+// exchange writes the request and reads the reply on c, and returns c to the pool if it can be
+// used again. If exchange returns an error, its caller must close c.
+func (p *Pool) exchange(ctx context.Context, c *conn, req *http.Request, readBy time.Time, validate func(*Reply) error) (*Reply, Outcome, error) {
 	if err := c.SetDeadline(readBy); err != nil {
 		return nil, NotSent, err
 	}
-	// A past deadline interrupts a read in progress: closing the connection
-	// is what tells the leaf to stop.
+	// A deadline in the past interrupts a read in progress. The connection is then closed,
+	// which tells the leaf to stop.
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if err := req.Write(c); err != nil {
-		return nil, c.fate(ctx, err), fmt.Errorf("write request: %w", err)
+		return nil, c.errorOutcome(ctx, err), fmt.Errorf("write request: %w", err)
 	}
-	reply, keep, err := p.read(c, req)
+	reply, keep, err := p.readReply(c, req)
 	if err != nil {
-		return nil, c.fate(ctx, err), fmt.Errorf("read reply: %w", err)
+		return nil, c.errorOutcome(ctx, err), fmt.Errorf("read reply: %w", err)
 	}
-	if err := valid(reply); err != nil {
+	if err := validate(reply); err != nil {
 		p.Stats.StrayDrops.Add(1)
 		return nil, ReplyLost, err
 	}
@@ -110,21 +110,21 @@
 	return reply, Replied, nil
 }
 
-// fate tells a time-out and a cancellation from a lost connection.
-func (c *conn) fate(ctx context.Context, err error) Outcome {
+// errorOutcome distinguishes a timeout and a cancellation from a lost connection.
+func (c *conn) errorOutcome(ctx context.Context, err error) Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return TimedOut
-	case !c.proven && ended(err):
+	case !c.hasReplied && isConnClosed(err):
 		return ReplyLostOnNewConn
 	}
 	return ReplyLost
 }
 
-// ended reports whether err says that the peer ended the connection.
-func ended(err error) bool {
+// isConnClosed reports whether err means that the peer closed the connection.
+func isConnClosed(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
@@ -133,14 +133,14 @@
 	return false
 }
 
-// read reads one whole reply and says whether the connection may be kept.
-func (p *Pool) read(c *conn, req *http.Request) (*Reply, bool, error) {
+// readReply reads one complete reply and reports whether the connection may be kept.
+func (p *Pool) readReply(c *conn, req *http.Request) (*Reply, bool, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, false, err
 		}
-		c.proven = true
+		c.hasReplied = true
 		if resp.StatusCode < http.StatusOK {
 			if resp.StatusCode == http.StatusSwitchingProtocols {
 				return nil, false, fmt.Errorf("unexpected status %d", resp.StatusCode)
@@ -154,7 +154,7 @@
 		if int64(len(body)) > p.opts.MaxBody {
 			return nil, false, errBodyTooLarge
 		}
-		c.announced, err = announcedIdle(resp.Header.Get("Keep-Alive"))
+		c.keepAlive, err = parseKeepAlive(resp.Header.Get("Keep-Alive"))
 		if err != nil {
 			p.opts.Log.Decision("leaf_keep_alive_malformed", oplog.Fields{
 				"leaf": c.leaf, "error": err.Error(), "used_instead_ms": p.opts.IdleTimeout.Milliseconds(),
@@ -166,8 +166,8 @@
 	}
 }
 
-// announcedIdle reads the idle time in a Keep-Alive header, 0 for none.
-func announcedIdle(header string) (time.Duration, error) {
+// parseKeepAlive returns the idle timeout in a Keep-Alive header, 0 if it has none.
+func parseKeepAlive(header string) (time.Duration, error) {
 	for _, field := range strings.Split(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
 		if !ok || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -175,7 +175,7 @@
 		}
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
 		if err != nil || seconds < 0 {
-			return 0, fmt.Errorf("idle time %q is not a number of seconds", value)
+			return 0, fmt.Errorf("Keep-Alive timeout %q is not a number of seconds", value)
 		}
 		return time.Duration(seconds) * time.Second, nil
 	}
