--- a/pkg/front/connlistener.go
+++ b/pkg/front/connlistener.go
@@ -7,51 +7,51 @@
 	"sync"
 )
 
-// discardLog drops the library's lines about single connections: they come at
-// the callers' rate and name no request.
+// discardLog discards the log lines of net/http about single connections: their rate is
+// determined by the callers, and they identify no request.
 var discardLog = log.New(io.Discard, "", 0)
 
-// inlet is the listener of one generation: it hands on connections that were
-// accepted elsewhere.
-type inlet struct {
-	addr  net.Addr
-	conns chan net.Conn
-	ended chan struct{}
-	once  sync.Once
+// connListener is the net.Listener of a limitedServer. It returns connections that were accepted
+// by another listener.
+type connListener struct {
+	addr    net.Addr
+	conns   chan net.Conn
+	stopped chan struct{}
+	once    sync.Once
 }
 
-func newInlet(addr net.Addr) *inlet {
-	return &inlet{addr: addr, conns: make(chan net.Conn), ended: make(chan struct{})}
+func newConnListener(addr net.Addr) *connListener {
+	return &connListener{addr: addr, conns: make(chan net.Conn), stopped: make(chan struct{})}
 }
 
-// offer hands a connection to the server; false: the inlet has ended.
-func (in *inlet) offer(conn net.Conn) bool {
+// offer passes a connection to the server, and reports false if the listener has stopped.
+func (l *connListener) offer(conn net.Conn) bool {
 	select {
-	case in.conns <- conn:
+	case l.conns <- conn:
 		return true
-	case <-in.ended:
+	case <-l.stopped:
 		return false
 	}
 }
 
-// end lets Accept return for good; connections already handed on stay.
-func (in *inlet) end() { in.once.Do(func() { close(in.ended) }) }
+// stop makes Accept return an error from now on. Connections already passed on are unaffected.
+func (l *connListener) stop() { l.once.Do(func() { close(l.stopped) }) }
 
 // Accept implements net.Listener.
-func (in *inlet) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-in.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-in.ended:
+	case <-l.stopped:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (in *inlet) Close() error {
-	in.end()
+func (l *connListener) Close() error {
+	l.stop()
 	return nil
 }
 
 // Addr implements net.Listener.
-func (in *inlet) Addr() net.Addr { return in.addr }
+func (l *connListener) Addr() net.Addr { return l.addr }
--- a/pkg/front/front.go
+++ b/pkg/front/front.go
@@ -1,6 +1,6 @@
-// Package front accepts callers' connections. It owns what a caller may do to
-// a connection: how long a header may take, how large it may be, how long a
-// connection may idle, and how connections end when the instance stops.
+// Package front accepts callers' connections. It enforces what a caller may do on a
+// connection: how long it may take to send a header, the size of the header and how long the
+// connection may be idle. It also ends connections when the instance stops.
 package front
 
 import (
@@ -14,49 +14,50 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// Server serves callers with one http.Server per set of limits: the library
-// reads its limits without a lock, so new limits get a new server, which takes
-// the connections accepted from then on. Connections accepted before keep the
-// limits that they began with.
+// Server serves callers with one http.Server per set of limits: net/http reads its limits without
+// a lock, so new limits require a new server, which gets the connections accepted from then on.
+// Connections accepted before keep their limits.
 type Server struct {
 	handler  http.Handler
 	listener net.Listener
-	// maxConns bounds the callers' connections, open counts them.
+	// maxConns is the maximum number of callers' connections, open is the current number.
 	maxConns int64
 	open     atomic.Int64
-	turned   atomic.Int64
+	// rejected counts connections that were closed because maxConns were open.
+	rejected atomic.Int64
 	draining atomic.Bool
 
 	mu      sync.Mutex
-	current *generation
-	old     []*http.Server
-	limits  routing.Limits
-	done    bool
+	current *limitedServer
+	// replaced holds the servers of earlier limits, which still serve their connections.
+	replaced []*http.Server
+	limits   routing.Limits
+	stopped  bool
 }
 
-// generation is the server of one set of limits and its inlet.
-type generation struct {
-	server *http.Server
-	inlet  *inlet
+// limitedServer is the server for one set of limits with its listener.
+type limitedServer struct {
+	server   *http.Server
+	listener *connListener
 }
 
-// headerSlack is what net/http adds to MaxHeaderBytes by itself.
-const headerSlack = 4096
+// stdlibHeaderSlack is the number of bytes that net/http adds to MaxHeaderBytes by itself.
+const stdlibHeaderSlack = 4096
 
-// New listens on addr. At most maxConns connections are open at once.
+// New listens on addr. At most maxConns connections are open at a time.
 func New(addr string, handler http.Handler, limits routing.Limits, maxConns int) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{listener: RetryAccept(ln), limits: limits, maxConns: int64(maxConns)}
-	s.handler = s.drainAware(handler)
-	s.current = s.generation(limits)
+	s.handler = s.withDrainHeader(handler)
+	s.current = s.startServer(limits)
 	return s, nil
 }
 
-// drainAware tells callers of a stopping instance to connect elsewhere.
-func (s *Server) drainAware(next http.Handler) http.Handler {
+// withDrainHeader tells callers of a stopping instance to close their connection.
+func (s *Server) withDrainHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -65,26 +66,26 @@
 	})
 }
 
-// generation starts a server with the given limits.
-func (s *Server) generation(limits routing.Limits) *generation {
-	g := &generation{
-		inlet: newInlet(s.listener.Addr()),
+// startServer starts a server with the given limits.
+func (s *Server) startServer(limits routing.Limits) *limitedServer {
+	ls := &limitedServer{
+		listener: newConnListener(s.listener.Addr()),
 		server: &http.Server{
 			Handler:           s.handler,
 			ReadHeaderTimeout: limits.HeaderTimeout,
 			IdleTimeout:       limits.IdleTimeout,
-			MaxHeaderBytes:    max(limits.HeaderBytes-headerSlack, 1),
+			MaxHeaderBytes:    max(limits.HeaderBytes-stdlibHeaderSlack, 1),
 			ErrorLog:          discardLog,
-			ConnState:         s.count,
-			ConnContext:       withCaller,
+			ConnState:         s.trackConn,
+			ConnContext:       withCallerConn,
 		},
 	}
-	go func() { _ = g.server.Serve(g.inlet) }() // Serve ends with the inlet.
-	return g
+	go func() { _ = ls.server.Serve(ls.listener) }() // Serve returns when the listener stops.
+	return ls
 }
 
-// count keeps the number of open connections.
-func (s *Server) count(_ net.Conn, state http.ConnState) {
+// trackConn updates the number of open connections.
+func (s *Server) trackConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		s.open.Add(1)
@@ -93,24 +94,23 @@
 	}
 }
 
-// OpenConns is how many callers' connections are open, Turned how many were closed
-// because there were too many.
+// OpenConns returns the number of callers' connections that are open.
 func (s *Server) OpenConns() int64 { return s.open.Load() }
 
-// RejectedConns is how many connections were closed because there were too many.
-func (s *Server) RejectedConns() int64 { return s.turned.Load() }
+// RejectedConns returns the number of connections closed because too many were open.
+func (s *Server) RejectedConns() int64 { return s.rejected.Load() }
 
-// SetLimits puts other limits in force for new connections.
+// SetLimits applies other limits to new connections.
 func (s *Server) SetLimits(limits routing.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if limits == s.limits || s.done {
+	if limits == s.limits || s.stopped {
 		return
 	}
 	s.limits = limits
-	s.old = append(s.old, s.current.server)
-	s.current.inlet.end()
-	s.current = s.generation(limits)
+	s.replaced = append(s.replaced, s.current.server)
+	s.current.listener.stop()
+	s.current = s.startServer(limits)
 }
 
 // Run accepts connections until the listener is closed.
@@ -121,54 +121,54 @@
 			return
 		}
 		if s.open.Load() >= s.maxConns {
-			s.turn(conn)
+			s.reject(conn)
 			continue
 		}
-		s.hand(conn)
+		s.dispatch(conn)
 	}
 }
 
-// turn closes a connection that is one too many, unread.
+// reject closes a connection over the limit without reading from it.
 //
-// Callers and leafs share the process's descriptors. If callers took them all, no
-// leaf could be connected to, and callers that are already being served would
-// lose their answers; one notices every shard unreachable during a flood. A
-// caller whose connection ends unread may try another instance.
-func (s *Server) turn(conn net.Conn) {
-	s.turned.Add(1)
+// Callers' and leafs' connections share the process's file descriptors. If callers took all of
+// them, no connection to a leaf could be opened, and callers already being served would lose
+// their answers: every shard would be unreachable during a flood. A caller whose connection
+// is closed unread may safely try another instance.
+func (s *Server) reject(conn net.Conn) {
+	s.rejected.Add(1)
 	_ = conn.Close() // Nothing was read or written.
 }
 
-// hand gives a connection to the current server. New limits may replace the
-// server meanwhile; then the next one takes it.
-func (s *Server) hand(conn net.Conn) {
+// dispatch passes a connection to the current server. If new limits replace that server
+// meanwhile, the next one gets the connection.
+func (s *Server) dispatch(conn net.Conn) {
 	for {
 		s.mu.Lock()
-		in, done := s.current.inlet, s.done
+		listener, stopped := s.current.listener, s.stopped
 		s.mu.Unlock()
-		if in.offer(conn) {
+		if listener.offer(conn) {
 			return
 		}
-		if done {
+		if stopped {
 			_ = conn.Close()
 			return
 		}
 	}
 }
 
-// Addr is the bound address.
+// Addr returns the bound address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Drain makes every answer from now on ask its caller to connect elsewhere.
+// Drain adds "Connection: close" to all further answers, so that callers connect elsewhere.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Stop closes the listener and the idle connections and waits for requests in
-// flight until ctx ends; then it closes what is left.
+// Stop closes the listener and the idle connections and waits for requests in flight until ctx
+// ends; then it closes the remaining connections.
 func (s *Server) Stop(ctx context.Context) {
-	_ = s.listener.Close() // Already closed is as good.
+	_ = s.listener.Close() // It may already be closed.
 	s.mu.Lock()
-	s.done = true
-	servers := append(s.old, s.current.server)
+	s.stopped = true
+	servers := append(s.replaced, s.current.server)
 	s.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, srv := range servers {
@@ -183,30 +183,29 @@
 	wg.Wait()
 }
 
-// Accept pauses after errors.
+// Bounds of the backoff after an accept error.
 const (
-	acceptPause     = 5 * time.Millisecond
-	acceptPauseMost = 200 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 200 * time.Millisecond
 )
 
-// listener accepts on after errors.
-type listener struct {
+// retryListener is a net.Listener that retries after accept errors.
+type retryListener struct {
 	net.Listener
 	closed chan struct{}
 	once   sync.Once
 }
 
-// RetryAccept wraps a listener so that Accept returns an error only once it is
-// closed. With all descriptors in use accept fails; a server that ends on that
-// takes the whole process out of service for a shortage that passes within
-// seconds.
+// RetryAccept wraps a listener so that Accept returns an error only once the listener is closed.
+// Accept fails when all file descriptors are in use; a server that stops for that reason takes
+// the whole process out of service for a shortage that ends within seconds.
 func RetryAccept(ln net.Listener) net.Listener {
-	return &listener{Listener: ln, closed: make(chan struct{})}
+	return &retryListener{Listener: ln, closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
-func (l *listener) Accept() (net.Conn, error) {
-	pause := acceptPause
+func (l *retryListener) Accept() (net.Conn, error) {
+	backoff := minAcceptBackoff
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil {
@@ -215,14 +214,14 @@
 		select {
 		case <-l.closed:
 			return nil, err
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, acceptPauseMost)
+		backoff = min(2*backoff, maxAcceptBackoff)
 	}
 }
 
 // Close implements net.Listener.
-func (l *listener) Close() error {
+func (l *retryListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/pkg/front/front_test.go
+++ b/pkg/front/front_test.go
@@ -16,27 +16,27 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// flaky fails to accept some times before it works.
-type flaky struct {
+// flakyListener fails a number of times before it accepts connections.
+type flakyListener struct {
 	net.Listener
-	left atomic.Int32
+	failuresLeft atomic.Int32
 }
 
-func (f *flaky) Accept() (net.Conn, error) {
-	if f.left.Add(-1) >= 0 {
+func (f *flakyListener) Accept() (net.Conn, error) {
+	if f.failuresLeft.Add(-1) >= 0 {
 		return nil, errors.New("too many open files")
 	}
 	return f.Listener.Accept()
 }
 
-// Symptom: the process ends, or never accepts again, although the shortage has
-// passed. Sequence: accept fails because all descriptors are in use, and works
-// again. Cause: a server that takes an accept error for its end.
-func TestAcceptErrorsDoNotEndTheServer(t *testing.T) {
+// Guards against a process that ends, or never accepts again, after a temporary shortage of file
+// descriptors. Accept fails while all descriptors are in use and then works again; the server
+// took the accept error for the end of its listener.
+func TestAcceptErrorsDoNotStopTheServer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &flaky{Listener: ln}
-	f.left.Store(3)
+	f := &flakyListener{Listener: ln}
+	f.failuresLeft.Store(3)
 	r := RetryAccept(f)
 	go func() {
 		conn, err := net.Dial("tcp", ln.Addr().String())
@@ -49,7 +49,7 @@
 	_ = conn.Close()
 	require.NoError(t, r.Close())
 	_, err = r.Accept()
-	require.Error(t, err, "closed is closed")
+	require.Error(t, err, "Accept fails once the listener is closed")
 }
 
 func limits(headerBytes int) routing.Limits {
@@ -68,7 +68,7 @@
 	return resp.StatusCode
 }
 
-// New limits hold for new connections; those that are open go on.
+// New limits apply to new connections; open connections keep the old ones.
 func TestNewLimitsKeepOpenConnections(t *testing.T) {
 	s, err := New("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}), limits(64<<10), 100)
 	require.NoError(t, err)
@@ -85,10 +85,9 @@
 	fresh.CloseIdleConnections()
 }
 
-// Symptom: every shard unreachable during a flood of callers. Sequence: callers
-// open connections without end. Cause: callers that take the descriptors that
-// leafs need. Beyond the limit a connection is closed unread, and once one ends
-// the next is served.
+// Guards against every shard becoming unreachable during a flood of callers, whose connections
+// take the file descriptors that connections to leafs need. Over the limit a connection is closed
+// unread; once another one ends, new connections are served again.
 func TestTooManyConnectionsAreClosedUnread(t *testing.T) {
 	s, err := New("127.0.0.1:0", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), limits(64<<10), 2)
 	require.NoError(t, err)
@@ -112,12 +111,12 @@
 	kept[1].CloseIdleConnections()
 }
 
-// Opening a connection takes the caller a round trip more than a request on a
-// kept one.
-func TestOnTheWay(t *testing.T) {
-	ways := make(chan time.Duration, 2)
+// The first request on a connection includes one more round trip than later ones, for opening the
+// connection.
+func TestNetworkDelay(t *testing.T) {
+	delays := make(chan time.Duration, 2)
 	s, err := New("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		ways <- NetworkDelay(r.Context())
+		delays <- NetworkDelay(r.Context())
 	}), routing.Limits{IdleTimeout: time.Minute}, 10)
 	require.NoError(t, err)
 	go s.Run()
@@ -131,7 +130,7 @@
 		require.NoError(t, resp.Body.Close())
 	}
 	client.CloseIdleConnections()
-	first, second := <-ways, <-ways
+	first, second := <-delays, <-delays
 	require.Positive(t, second)
 	require.Equal(t, 2*second, first)
 	require.Zero(t, NetworkDelay(t.Context()), "no connection known")
--- a/pkg/front/networkdelay.go
+++ b/pkg/front/networkdelay.go
@@ -8,33 +8,33 @@
 	"github.com/indigoyoke/indigoyoke/pkg/sock"
 )
 
-// callerKey is the context key of what is known of a request's connection.
-type callerKey struct{}
+// callerConnKey is the context key of a request's *callerConn.
+type callerConnKey struct{}
 
-// callerConn is what is known of a caller's connection. Its requests are handled
-// one after the other.
+// callerConn is the state of a caller's connection. Its requests are handled one at a time.
 type callerConn struct {
-	conn      net.Conn
-	requests  int
+	conn net.Conn
+	// requests is the number of requests on the connection so far.
+	requests int
+	// roundTrip is the round-trip time measured at the first request.
 	roundTrip time.Duration
 }
 
-// withCaller keeps a connection in the contexts of its requests.
-func withCaller(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, &callerConn{conn: conn})
+// withCallerConn adds a connection to the contexts of its requests.
+func withCallerConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, &callerConn{conn: conn})
 }
 
-// NetworkDelay is how long the request that ctx belongs to, and its answer, spend
-// between the caller and this instance: a round trip, and one more before the
-// first request on a connection for opening it. It is called once a request.
+// NetworkDelay returns the time that the request of ctx and its answer together spend between
+// the caller and this instance: one round trip, and another one for opening the connection
+// if the request is the first on it. It must be called once per request.
 //
-// A caller counts its wait from when it began to send. An answer that is given
-// just before the target latency is over, as seen from here, reaches a distant
-// caller after it; one notices whole routes late by their callers' count and in
-// time by this instance's. The kernel knows the round trip from opening the
-// connection.
+// A caller measures its latency from when it began to send. An answer that leaves just before
+// the target latency as measured here reaches a distant caller after it; whole routes are
+// then late as measured by their callers and in time as measured by this instance. The kernel
+// measures the round trip when the connection is opened.
 func NetworkDelay(ctx context.Context) time.Duration {
-	c, ok := ctx.Value(callerKey{}).(*callerConn)
+	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return 0
 	}
