--- a/pkg/sock/sock.go
+++ b/pkg/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock asks a connection's socket what it knows, without reading from it.
+// Package sock queries the state of a connection's socket without reading from it.
 package sock
 
 import (
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a connection's socket shows.
+// State is the state of a connection's socket.
 type State int
 
 const (
-	// Idle: open, nothing to read.
+	// Idle means that the connection is open and has no unread bytes.
 	Idle State = iota
-	// Pending: bytes wait to be read.
+	// Pending means that the connection has unread bytes.
 	Pending
-	// Closed: the peer has closed or reset the connection, or the socket
-	// cannot be asked.
+	// Closed means that the peer has closed or reset the connection, or that the socket
+	// cannot be queried.
 	Closed
-	// Unknown: the connection has no socket.
+	// Unknown means that the connection has no socket.
 	Unknown
 )
 
@@ -31,29 +31,29 @@
 		return Unknown
 	}
 	state := Closed
-	control(sc, func(fd int) { state = peek(fd) })
+	withFD(sc, func(fd int) { state = peek(fd) })
 	return state
 }
 
-// control calls f with the socket's descriptor, unless it is closed.
-func control(conn syscall.Conn, f func(fd int)) {
+// withFD calls f with the socket's file descriptor, unless the socket is closed.
+func withFD(conn syscall.Conn, f func(fd int)) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
-	// An error says that the socket was closed meanwhile: f was not called.
+	// An error means that the socket was closed meanwhile and f was not called.
 	_ = raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// SmoothedRTT is the time to the peer and back as the kernel has smoothed it, 0
-// where it is not known. It takes one system call.
+// SmoothedRTT returns the kernel's smoothed estimate of the round-trip time to the peer, 0 if it
+// is not known. It takes one system call.
 func SmoothedRTT(conn net.Conn) time.Duration {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
 	}
 	var rtt time.Duration
-	control(sc, func(fd int) {
+	withFD(sc, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			rtt = time.Duration(info.Rtt) * time.Microsecond
 		}
