--- a/pkg/errcode/errcode.go
+++ b/pkg/errcode/errcode.go
@@ -1,12 +1,11 @@
-// Package errcode owns the numbered result codes that every indigoyoke
-// process returns to its callers and writes into answers.
+// Package errcode defines the numbered result codes that every indigoyoke process returns to
+// its callers and writes into answers.
 //
-// A code is printed as "IY" followed by four digits. The first digit names the
-// family: 0 success, 1 the caller's request was refused before anything ran,
-// 2 the entry instance refused the request before anything ran, 3 a shard was
-// not covered, 4 the outcome of a not-repeatable request is unknown or
-// replayed, 5 configuration and settings. The table in docs/ERRORS.md is the
-// published list and is checked against this file by a test.
+// A code is printed as "IY" followed by four digits. The first digit is the family: 0 success,
+// 1 the caller's request was refused before anything ran, 2 the entry instance refused the
+// request before anything ran, 3 a shard was not covered, 4 the outcome of a not-repeatable
+// request is unknown or its answer was replayed, 5 configuration and settings. The table in
+// docs/ERRORS.md is the published list; a test checks it against this file.
 package errcode
 
 import (
@@ -65,13 +64,15 @@
 	PlatformRateLimited   Code = 5005
 )
 
-type info struct {
+// codeInfo is a row of the published table.
+type codeInfo struct {
 	name   string
 	notRun bool
+	// status is the HTTP status; zero: the code is not returned over HTTP.
 	status int
 }
 
-var table = map[Code]info{
+var table = map[Code]codeInfo{
 	OK:                    {"ok", false, 200},
 	UnknownClient:         {"unknown client application", true, 401},
 	NotAuthorised:         {"client application not authorised for this index", true, 403},
@@ -117,15 +118,14 @@
 // String renders the code as IYnnnn.
 func (c Code) String() string { return fmt.Sprintf("IY%04d", int(c)) }
 
-// Name is the one-line meaning from the published table.
+// Name returns the one-line meaning from the published table.
 func (c Code) Name() string { return table[c].name }
 
-// NotRun reports whether a request that got this code is guaranteed not to
-// have run anywhere. Only such codes make a retry of a not-repeatable
-// request safe.
+// NotRun reports whether a request with this code is guaranteed not to have run anywhere. Only
+// after such a code is it safe to retry a request that is not repeatable.
 func (c Code) NotRun() bool { return table[c].notRun }
 
-// HTTPStatus is the status an entry instance answers with for this code.
+// HTTPStatus returns the HTTP status with which an entry instance answers for this code.
 func (c Code) HTTPStatus() int { return table[c].status }
 
 // Known reports whether c is in the published table.
@@ -134,7 +134,7 @@
 	return ok
 }
 
-// All lists every published code in ascending order.
+// All returns every published code in ascending order.
 func All() []Code {
 	out := make([]Code, 0, len(table))
 	for c := range table {
@@ -144,7 +144,7 @@
 	return out
 }
 
-// Namespace holds every error that carries a result code.
+// Namespace is the error namespace of all errors that carry a result code.
 var Namespace = errorx.NewNamespace("indigoyoke")
 
 var (
@@ -157,8 +157,7 @@
 	return errType.New(format, args...).WithProperty(codeProp, c)
 }
 
-// Of extracts the result code from err; errors without one map to
-// ShardFailed, and nil maps to OK.
+// Of returns the result code of err: OK for nil, and ShardFailed for an error without a code.
 func Of(err error) Code {
 	if err == nil {
 		return OK
--- a/pkg/errcode/errcode_test.go
+++ b/pkg/errcode/errcode_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestErrorsTableMatchesDocs keeps the published table in docs/ERRORS.md
-// equal, row for row, to the codes in this package.
+// TestErrorsTableMatchesDocs checks that the published table in docs/ERRORS.md equals the codes in
+// this package, row for row.
 func TestErrorsTableMatchesDocs(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/ERRORS.md")
 	require.NoError(t, err)
@@ -22,11 +22,11 @@
 	}
 	var want []string
 	for _, c := range All() {
-		nr := "no"
+		notRun := "no"
 		if c.NotRun() {
-			nr = "yes"
+			notRun = "yes"
 		}
-		want = append(want, fmt.Sprintf("| %s | %s | %s | %d |", c, c.Name(), nr, c.HTTPStatus()))
+		want = append(want, fmt.Sprintf("| %s | %s | %s | %d |", c, c.Name(), notRun, c.HTTPStatus()))
 	}
 	require.Equal(t, want, rows)
 }
@@ -35,9 +35,9 @@
 	for _, c := range All() {
 		text, err := c.MarshalText()
 		require.NoError(t, err)
-		var back Code
-		require.NoError(t, back.UnmarshalText(text))
-		require.Equal(t, c, back)
+		var decoded Code
+		require.NoError(t, decoded.UnmarshalText(text))
+		require.Equal(t, c, decoded)
 	}
 	require.Error(t, new(Code).UnmarshalText([]byte("E42")))
 }
