--- a/pkg/peers/frames.go
+++ b/pkg/peers/frames.go
@@ -15,57 +15,57 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// version is the protocol's. A peer of another version is not spoken to; its leafs are
-// asked directly until it is replaced.
-const version = 5
+// protocolVersion is the version of the frame protocol. Peers of another version are not used:
+// their leafs are called directly until the peer is upgraded.
+const protocolVersion = 5
 
-// maxFrame bounds a frame in bytes: the largest request body and the parts of a few
-// hundred shards.
-const maxFrame = 8 << 20
+// maxFrameBytes is the maximum size of the content of a frame. It fits the largest request body and
+// the parts of a few hundred shards.
+const maxFrameBytes = 8 << 20
 
-// Errors of the protocol.
+// Protocol errors.
 var (
-	errVersion    = errors.New("peer speaks another version")
-	errKind       = errors.New("frame of an unknown kind")
-	errFrameSize  = errors.New("frame over the limit")
-	errUnknownRef = errors.New("frame refers to a text that was not sent")
+	errProtocolVersion = errors.New("peer uses another protocol version")
+	errFrameKind       = errors.New("unexpected frame kind")
+	errFrameSize       = errors.New("frame exceeds the size limit")
+	errUnknownRef      = errors.New("frame refers to an unknown text number")
 )
 
-// kind says what a frame holds.
-type kind uint8
+// frameKind is the type of a frame.
+type frameKind uint8
 
 const (
-	// kindHello, kindBatch, kindQuery, kindCancel and kindGrant come from the caller.
-	kindHello kind = iota + 1
+	// kindHello opens a connection. kindBatch and kindQuery send work to the server.
+	kindHello frameKind = iota + 1
 	kindBatch
 	kindQuery
-	// kindCancel ends the batch or query of that number.
+	// kindCancel cancels the batch or query with the given number (client to server).
 	kindCancel
-	// kindFlush, kindTaken, kindDeclined, kindAnswer and kindBeat come from the peer.
-	kindFlush
-	// kindTaken says that a query was read and will be run once it is granted, kindDeclined
-	// that it will not be.
-	kindTaken
+	// kindBatchReplies holds replies of a batch (server to client).
+	kindBatchReplies
+	// kindAccepted says that the server will run a query once it is granted, kindDeclined that it
+	// will not run it, and kindAnswer returns its outcome (server to client).
+	kindAccepted
 	kindDeclined
 	kindAnswer
-	// kindBeat says that the peer is well while queries are open.
-	kindBeat
-	// kindListen asks for what the store publishes, kindNews says how far the peer's
-	// knowledge of it reaches, and kindPage brings changes.
-	kindListen
-	kindNews
+	// kindHeartbeat shows that the server is alive while queries are open (server to client).
+	kindHeartbeat
+	// kindSubscribe asks for changes of the store (client to server). kindFeedStatus describes
+	// how current the server is, and kindPage holds changes (server to client).
+	kindSubscribe
+	kindFeedStatus
 	kindPage
-	// kindGrant lets a query that was taken be run: its caller does not run it any more.
+	// kindGrant allows the server to run an accepted query (client to server).
 	kindGrant
 )
 
-// numbered is a frame that says no more than which batch or query it is about.
+// numbered is the content of frames that only name a batch or query.
 type numbered struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 }
 
-// hello is the first frame on a connection, from the caller.
+// hello is the first frame on a connection and identifies the client.
 type hello struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
@@ -73,42 +73,44 @@
 	Zone    string
 }
 
-// ref is a text that is sent whole once on a connection and then by its number; number
-// 0 is a text that is not kept.
+// textRef is a text that is sent in full once per connection and then by its number. Number 0 marks
+// a text that is not stored.
 //
-// Names of leafs and headers are most of a leaf request's bytes, and the same in each.
-type ref struct {
+// Leaf names and headers make up most of a leaf request and are the same in each.
+type textRef struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint16
 	Text   string
 }
 
-// maxRefs bounds what both ends keep for a connection.
-const maxRefs = 4096
+// maxTexts is the maximum number of texts that each end stores for a connection.
+const maxTexts = 4096
 
-// refWriter numbers texts.
-type refWriter struct{ numbers map[string]uint16 }
+// textEncoder assigns numbers to texts.
+type textEncoder struct{ numbers map[string]uint16 }
 
-func (w *refWriter) ref(text string) ref {
+// ref returns the reference for text, which includes the text if it is new or cannot be stored.
+func (w *textEncoder) ref(text string) textRef {
 	if n, ok := w.numbers[text]; ok {
-		return ref{Number: n}
+		return textRef{Number: n}
 	}
-	if text == "" || len(w.numbers) >= maxRefs {
-		return ref{Text: text}
+	if text == "" || len(w.numbers) >= maxTexts {
+		return textRef{Text: text}
 	}
 	n := uint16(len(w.numbers) + 1)
 	w.numbers[text] = n
-	return ref{Number: n, Text: text}
+	return textRef{Number: n, Text: text}
 }
 
-// refReader finds them again.
-type refReader struct{ texts map[uint16]string }
+// textDecoder stores the texts that a textEncoder has numbered.
+type textDecoder struct{ texts map[uint16]string }
 
-func (r *refReader) text(f ref) (string, error) {
+// resolve returns the text of a reference, and stores it if it is new.
+func (r *textDecoder) resolve(f textRef) (string, error) {
 	switch {
 	case f.Number == 0:
 		return f.Text, nil
-	case f.Text != "" && len(r.texts) < maxRefs:
+	case f.Text != "" && len(r.texts) < maxTexts:
 		r.texts[f.Number] = f.Text
 		return f.Text, nil
 	}
@@ -119,24 +121,24 @@
 	return text, nil
 }
 
-// requestFrame is a caller's request inside another frame.
+// requestFrame is a request of a caller inside another frame.
 type requestFrame struct {
 	_      struct{} `cbor:",toarray"`
 	ID     string
-	Method ref
-	Host   ref
+	Method textRef
+	Host   textRef
 	Target string
-	// Header holds the names and values in turn. IDHeader is the name of the one that
-	// holds the request's ID, which is not among them; "" for none.
-	Header   []ref
-	IDHeader ref
+	// Header holds names and values alternately. IDHeader is the name of the header that holds
+	// ID, which is not part of Header; "" if there is none.
+	Header   []textRef
+	IDHeader textRef
 	Body     []byte
 }
 
-// encode writes a request.
-func (w *refWriter) encode(id string, r Request) requestFrame {
+// encodeRequest encodes a request.
+func (w *textEncoder) encodeRequest(id string, r Request) requestFrame {
 	f := requestFrame{ID: id, Target: r.Target, Body: r.Body, Method: w.ref(r.Method), Host: w.ref(r.Host)}
-	header, idName := pairs(r.Header, id)
+	header, idName := headerPairs(r.Header, id)
 	for _, text := range header {
 		f.Header = append(f.Header, w.ref(text))
 	}
@@ -144,26 +146,26 @@
 	return f
 }
 
-// decode is the inverse of encode. Texts are read in the order in which they were
-// written, so that both ends number alike.
-func (r *refReader) decode(f requestFrame) (Request, error) {
-	texts, err := r.all(slices.Concat([]ref{f.Method, f.Host}, f.Header, []ref{f.IDHeader}))
+// decodeRequest is the inverse of encodeRequest. It resolves the texts in the order in which they
+// were encoded, so that both ends assign the same numbers.
+func (r *textDecoder) decodeRequest(f requestFrame) (Request, error) {
+	texts, err := r.resolveAll(slices.Concat([]textRef{f.Method, f.Host}, f.Header, []textRef{f.IDHeader}))
 	if err != nil {
 		return Request{}, err
 	}
 	header, idName := texts[2:len(texts)-1], texts[len(texts)-1]
-	fields := fromPairs(header)
+	fields := headerFromPairs(header)
 	if idName != "" {
 		fields[idName] = []string{f.ID}
 	}
 	return Request{Method: texts[0], Host: texts[1], Target: f.Target, Header: fields, Body: f.Body}, nil
 }
 
-// all resolves several texts.
-func (r *refReader) all(refs []ref) ([]string, error) {
+// resolveAll resolves several references.
+func (r *textDecoder) resolveAll(refs []textRef) ([]string, error) {
 	out := make([]string, 0, len(refs))
 	for _, f := range refs {
-		text, err := r.text(f)
+		text, err := r.resolve(f)
 		if err != nil {
 			return nil, err
 		}
@@ -177,82 +179,81 @@
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Request requestFrame
-	// LeftMs is how long the leafs may work; FlushUs when the first replies are
-	// sent back at the latest, StepUs how long further ones are collected.
-	LeftMs  uint32
-	FlushUs uint32
-	StepUs  uint32
-	TopK    uint32
-	// Leafs are IDs and addresses: the peer may not have heard of a leaf yet.
-	Leafs []ref
+	// TimeoutMs is the time that the leafs have. FlushUs is when the first replies are returned
+	// at the latest, and StepUs how long further replies are collected.
+	TimeoutMs uint32
+	FlushUs   uint32
+	StepUs    uint32
+	TopK      uint32
+	// Leafs are IDs and addresses, since the peer may not know a leaf yet.
+	Leafs []textRef
 }
 
-// leafText is a leaf's ID and address.
-func leafText(l replica.Leaf) string { return l.ID + " " + l.Addr }
+// formatLeaf returns the ID and address of a leaf as one text.
+func formatLeaf(l replica.Leaf) string { return l.ID + " " + l.Addr }
 
-// leafOf is the inverse of leafText.
-func leafOf(text string) replica.Leaf {
+// parseLeaf is the inverse of formatLeaf.
+func parseLeaf(text string) replica.Leaf {
 	id, addr, _ := strings.Cut(text, " ")
 	return replica.Leaf{ID: id, Addr: addr}
 }
 
-// flush brings replies of a batch. The records of all its parts are merged into one
-// body.
-type flush struct {
+// batchReplies returns replies of a batch. Body holds the merged records of all parts.
+type batchReplies struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
-	// HeldUs is how long the peer has had the batch.
-	HeldUs uint32
-	Parts  []part
-	Body   []byte
+	// ElapsedUs is the time since the peer has received the batch.
+	ElapsedUs uint32
+	Parts     []leafPart
+	Body      []byte
 }
 
-// part is the reply of one leaf.
-type part struct {
+// leafPart is the reply of one leaf. Leaf is its index in the batch.
+type leafPart struct {
 	_       struct{} `cbor:",toarray"`
 	Leaf    uint16
 	Outcome uint8
 	Status  uint16
 	TookUs  uint32
 	Proof   string
-	// Load is what the leaf said of itself: requests running and waiting, slots, and the pace in
-	// percent (0: not said); empty: nothing.
+	// Load is the load that the leaf reported: running and waiting requests, slots, and pace in
+	// percent (0 if unknown). It is empty if the leaf reported none.
 	Load []uint32
 }
 
-// loadFigures is how many figures a load has in a frame.
-const loadFigures = 4
+// loadFieldCount is the number of values in leafPart.Load.
+const loadFieldCount = 4
 
-// loadFrame encodes what a leaf said of itself.
-func loadFrame(l *replica.Load) []uint32 {
+// encodeLoad encodes the reported load of a leaf.
+func encodeLoad(l *replica.Load) []uint32 {
 	if l == nil {
 		return nil
 	}
 	return []uint32{uint32(l.Running), uint32(l.Waiting), uint32(l.Slots), uint32(100 * l.Pace)}
 }
 
-// loadOf is the inverse of loadFrame.
-func loadOf(f []uint32) (*replica.Load, error) {
+// decodeLoad is the inverse of encodeLoad.
+func decodeLoad(f []uint32) (*replica.Load, error) {
 	if len(f) == 0 {
 		return nil, nil
 	}
-	if len(f) != loadFigures {
-		return nil, fmt.Errorf("load of %d figures", len(f))
+	if len(f) != loadFieldCount {
+		return nil, fmt.Errorf("load has %d values", len(f))
 	}
 	l := &replica.Load{Running: int(f[0]), Waiting: int(f[1]), Slots: int(f[2]), Pace: float64(f[3]) / 100}
 	return l, l.Check()
 }
 
-// Request is a caller's request as it goes to leafs.
+// Request is a caller's request in the form in which leafs receive it.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
 }
 
-// pairs lists a header as names and values in turn, without one that holds the request's
-// ID, whose name it returns.
-func pairs(h http.Header, id string) (out []string, idName string) {
+// headerPairs returns a header as alternating names and values, without the first header whose only
+// value is id. idName is the name of that header.
+func headerPairs(h http.Header, id string) (out []string, idName string) {
 	for name, values := range h {
 		if idName == "" && len(values) == 1 && values[0] == id {
 			idName = name
@@ -265,8 +266,8 @@
 	return out, idName
 }
 
-// fromPairs is the inverse of pairs.
-func fromPairs(list []string) http.Header {
+// headerFromPairs is the inverse of headerPairs.
+func headerFromPairs(list []string) http.Header {
 	h := make(http.Header, len(list)/2)
 	for i := 0; i+1 < len(list); i += 2 {
 		h[list[i]] = append(h[list[i]], list[i+1])
@@ -274,8 +275,8 @@
 	return h
 }
 
-// writeFrame writes one frame: its size, its kind, and its content in CBOR.
-func writeFrame(w *bufio.Writer, k kind, v any) error {
+// writeFrame writes one frame: its size as a varint, its kind, and its content in CBOR.
+func writeFrame(w *bufio.Writer, k frameKind, v any) error {
 	raw, err := cbor.Marshal(v)
 	if err != nil {
 		return err
@@ -291,12 +292,12 @@
 }
 
 // readFrame reads one frame.
-func readFrame(r *bufio.Reader) (kind, []byte, error) {
+func readFrame(r *bufio.Reader) (frameKind, []byte, error) {
 	size, err := binary.ReadUvarint(r)
 	if err != nil {
 		return 0, nil, err
 	}
-	if size > maxFrame {
+	if size > maxFrameBytes {
 		return 0, nil, fmt.Errorf("%w: %d bytes", errFrameSize, size)
 	}
 	k, err := r.ReadByte()
@@ -307,7 +308,7 @@
 	if _, err := io.ReadFull(r, raw); err != nil {
 		return 0, nil, err
 	}
-	return kind(k), raw, nil
+	return frameKind(k), raw, nil
 }
 
 // decode decodes the content of a frame.
--- /dev/null
+++ b/pkg/peers/gossip.go
@@ -0,0 +1,147 @@
+package peers
+
+import (
+	"errors"
+	"net"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"github.com/indigoyoke/indigoyoke/pkg/membership"
+	"github.com/indigoyoke/indigoyoke/pkg/oplog"
+	"github.com/indigoyoke/indigoyoke/pkg/quarantine"
+)
+
+// packet is one datagram: a membership message with piggybacked quarantine notes. Instances of
+// another version ignore the fields that they do not know.
+type packet struct {
+	membership.Message
+	// Requests describe requests that make leafs crash.
+	Requests []quarantine.Note `cbor:"20,keyasint,omitempty"`
+}
+
+const (
+	// maxPiggybackedNotes is the maximum number of notes on a regular membership message, and
+	// maxNotesPerMessage on one that is sent for the notes. A datagram stays below 1,400 bytes.
+	maxPiggybackedNotes = 4
+	maxNotesPerMessage  = 12
+)
+
+// tickMembership runs the timers of the membership and returns the messages to send.
+func (p *Peers) tickMembership(now time.Time) []membership.Envelope {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := p.members.Tick(now)
+	p.logStatusChanges()
+	return out
+}
+
+// logStatusChanges logs the members whose status has changed. mu must be held.
+func (p *Peers) logStatusChanges() {
+	for _, m := range p.members.Changes() {
+		p.log.Decision("member_"+m.Status.String(), oplog.Fields{
+			"member": m.Name, "member_zone": m.Zone, "addr": m.Addr, "incarnation": m.Incarnation,
+		})
+	}
+}
+
+// receive handles datagrams until the socket is closed.
+func (p *Peers) receive() {
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		n, from, err := p.udp.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			// The error may report one unreachable peer; the others must be served.
+			time.Sleep(time.Millisecond)
+			continue
+		}
+		var m packet
+		if err := cbor.Unmarshal(buffer[:n], &m); err != nil {
+			p.log.Decision("member_message_malformed", oplog.Fields{"error": err.Error()})
+			continue
+		}
+		if from.String() != m.From.Addr {
+			// A sender that could impersonate others could declare any member as left.
+			p.log.Decision("member_message_malformed", oplog.Fields{"from": from.String(), "claims": m.From.Addr, "error": "sent from another address"})
+			continue
+		}
+		p.applyQuarantineNotes(m.Requests, m.From.Name)
+		p.mu.Lock()
+		out := p.members.Receive(m.Message, time.Now())
+		p.logStatusChanges()
+		p.mu.Unlock()
+		p.sendAll(out)
+	}
+}
+
+// applyQuarantineNotes merges the notes of another instance into the quarantine table.
+func (p *Peers) applyQuarantineNotes(notes []quarantine.Note, from string) {
+	if p.quarantine == nil {
+		return
+	}
+	now := time.Now()
+	for _, note := range notes[:min(len(notes), maxNotesPerMessage)] {
+		change := p.quarantine.Learn(note, now)
+		if change.Changed() {
+			fields := change.Fields()
+			fields["peer"] = from
+			p.log.State(change.Event(), fields)
+		}
+	}
+}
+
+// broadcastQuarantine sends the quarantine changes since the last call to all members. A caller may
+// retry at any instance at once, and each instance without the note would let the request crash
+// more leafs.
+func (p *Peers) broadcastQuarantine(now time.Time) {
+	if p.quarantine == nil {
+		return
+	}
+	notes := p.quarantine.Changes(maxNotesPerMessage, now)
+	if len(notes) == 0 {
+		return
+	}
+	p.mu.Lock()
+	out := p.members.Notices()
+	p.mu.Unlock()
+	for _, e := range out {
+		p.sendPacket(e.To, packet{Message: e.Message, Requests: notes})
+	}
+}
+
+// sendAll sends membership messages with piggybacked notes. The protocol tolerates lost datagrams.
+func (p *Peers) sendAll(out []membership.Envelope) {
+	for _, e := range out {
+		m := packet{Message: e.Message}
+		if p.quarantine != nil && e.Message.Kind != membership.List {
+			m.Requests = p.quarantine.Some(maxPiggybackedNotes, time.Now())
+		}
+		p.sendPacket(e.To, m)
+	}
+}
+
+// sendPacket sends one datagram.
+func (p *Peers) sendPacket(addr string, m packet) {
+	raw, err := cbor.Marshal(m)
+	if err != nil {
+		p.log.Decision("member_message_failed", oplog.Fields{"error": err.Error()})
+		return
+	}
+	to, err := net.ResolveUDPAddr("udp4", addr)
+	if err != nil {
+		p.log.Decision("member_message_failed", oplog.Fields{"to": addr, "error": err.Error()})
+		return
+	}
+	_, _ = p.udp.WriteToUDP(raw, to) // The protocol tolerates lost datagrams.
+}
+
+// Leave announces to the other members that this instance leaves.
+func (p *Peers) Leave() {
+	p.mu.Lock()
+	out := p.members.Leave(time.Now())
+	p.mu.Unlock()
+	p.sendAll(out)
+}
--- a/pkg/peers/handover.go
+++ b/pkg/peers/handover.go
@@ -1,27 +1,28 @@
 package peers
 
-// Who runs a query that one instance hands to another. Exactly one may: either asks up to as
-// many leafs of a shard as the route allows.
+// Handover protocol: a query that one instance hands off to another must be run by at most one of
+// them, since each run may call as many leafs of a shard as the route allows.
 //
-// The instance that has the query offers it; the other one takes it; the first one grants it,
-// and from then on does not run it. A word that is late, lost or repeated between the two
-// leaves a query with one of them or with none, never with both: the offer is taken back by not
-// granting it. The grant costs a round trip in the zone before the first leaf is asked.
+// The instance that owns the query offers it, the peer accepts it, and the owner grants it. After
+// the grant the owner does not run the query itself. The owner withdraws an offer by not granting
+// it. A message that is late, lost or repeated therefore leaves the query with one of the
+// instances or with none, but never with both. Waiting for the grant costs a round trip within
+// the zone before the first leaf is called.
 
-// offer is a query at the instance that hands it on.
-type offer int
+// offerState is the state of a query at the instance that offers it.
+type offerState int
 
 const (
-	// offered: the other one may take it.
-	offered offer = iota
-	// granted: the other one runs it, and this one does not, whatever becomes of the other.
+	// offered: the peer may accept the query.
+	offered offerState = iota
+	// granted: the peer runs the query. This instance does not, even if the peer is lost.
 	granted
-	// takenBack: this one runs it.
-	takenBack
+	// withdrawn: this instance runs the query.
+	withdrawn
 )
 
-// taken is called when the other one takes the query. It reports whether to grant it.
-func (o *offer) taken() bool {
+// accept is called when the peer accepts the query. It reports whether to grant it.
+func (o *offerState) accept() bool {
 	if *o != offered {
 		return false
 	}
@@ -29,29 +30,29 @@
 	return true
 }
 
-// refused is called when the other one declines, is gone, or has not taken the query in time.
-// It reports whether this instance is to run it.
-func (o *offer) refused() bool {
+// withdraw is called when the peer declines the query, is lost, or does not accept it in time. It
+// reports whether this instance is to run the query.
+func (o *offerState) withdraw() bool {
 	if *o == granted {
 		return false
 	}
-	*o = takenBack
+	*o = withdrawn
 	return true
 }
 
-// handover is a query at the instance that took it.
+// handover is the state of a query at the instance that accepted it.
 type handover struct {
-	// grants is closed when the query is granted.
-	grants  chan struct{}
-	granted bool
+	// grantedCh is closed when the query is granted.
+	grantedCh chan struct{}
+	granted   bool
 }
 
-func newHandover() *handover { return &handover{grants: make(chan struct{})} }
+func newHandover() *handover { return &handover{grantedCh: make(chan struct{})} }
 
-// grant takes over that the query is granted; once is enough.
+// grant records that the query is granted. Repeated calls have no effect.
 func (h *handover) grant() {
 	if !h.granted {
 		h.granted = true
-		close(h.grants)
+		close(h.grantedCh)
 	}
 }
--- a/pkg/peers/handover_test.go
+++ b/pkg/peers/handover_test.go
@@ -15,21 +15,21 @@
 	"github.com/indigoyoke/indigoyoke/pkg/gateway"
 )
 
-// tap is a connection whose two directions a test can hold up.
-type tap struct {
+// delayProxy is a TCP proxy whose two directions a test can block separately.
+type delayProxy struct {
 	addr string
-	// there and back let bytes of that direction pass while they are open.
-	there, back *valve
+	// toServer and toClient pass the bytes of one direction while they are open.
+	toServer, toClient *valve
 }
 
-// valve lets bytes pass while it is open.
-type valve struct{ shut atomic.Bool }
+// valve passes bytes while it is open.
+type valve struct{ closed atomic.Bool }
 
 func (v *valve) pump(to net.Conn, from net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
-		for v.shut.Load() {
+		for v.closed.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -42,162 +42,156 @@
 	}
 }
 
-// newTap listens, and passes a connection on to addr.
-func newTap(t *testing.T, addr string) *tap {
+// newDelayProxy returns a proxy that forwards one connection to addr.
+func newDelayProxy(t *testing.T, addr string) *delayProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	p := &tap{addr: ln.Addr().String(), there: &valve{}, back: &valve{}}
+	p := &delayProxy{addr: ln.Addr().String(), toServer: &valve{}, toClient: &valve{}}
 	go func() {
-		near, err := ln.Accept()
+		client, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", addr)
+		server, err := net.Dial("tcp", addr)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			return
 		}
-		go p.there.pump(far, near)
-		p.back.pump(near, far)
+		go p.toServer.pump(server, client)
+		p.toClient.pump(client, server)
 	}()
 	return p
 }
 
-// Queries were sent to three and four leafs of a shard whose route allows two. An instance
-// that is short of processor time took a query 40 ms late; the one that had handed it on ran
-// it by then itself, and both sent it to leafs before the cancellation was read. Saying that a
-// query is taken was enough to run it; now it has to be granted. Lines of one such query, of
-// the one and of the other:
-//
-//	28.528 a-14 query_taken_back after_ms=138 peer=a-12
-//	28.562 a-12 caller_left after_ms=130
-//	28.563 a-14 query_taken_late peer=a-12
-//	shard baba9t was sent to 3 leafs of 2 that its route allows
-func TestQueryIsRunByOneInstance(t *testing.T) {
+// Guards against a query that two instances run, which sent it to 3 and 4 leafs of a shard whose
+// route allows 2. A peer that is short of processor time accepts a query 40 ms late. By then the
+// owner has withdrawn it and runs it itself, and the peer calls leafs before it reads the
+// cancellation. Acceptance alone must not be enough to run a query; it must be granted.
+func TestQueryAcceptedLateRunsOnOneInstance(t *testing.T) {
 	var ran atomic.Int64
 	reached := make(chan struct{})
-	b := newAskBench(t, func(_ context.Context, _ *gateway.Request, _ int64, granted func() bool) (gateway.Answer, bool) {
+	b := newQueryFixture(t, func(_ context.Context, _ *gateway.Request, _ int64, granted func() bool) (gateway.Answer, bool) {
 		close(reached)
 		if !granted() {
 			return gateway.Answer{}, false
 		}
 		ran.Add(1)
-		return half(), true
+		return partialAnswer(), true
 	})
-	p := newTap(t, b.server.listener.Addr().String())
+	p := newDelayProxy(t, b.server.listener.Addr().String())
 	c := b.dial(p.addr)
-	c.silent = b.agent.silent
+	c.onTimeout = b.agent.handleTimeout
 	b.agent.conns["peer"] = c
-	p.back.shut.Store(true)
+	p.toClient.closed.Store(true)
 	go func() {
 		<-reached
-		p.there.shut.Store(true) // What this instance says next comes late.
+		p.toServer.closed.Store(true) // Further frames of the owner are delayed.
 	}()
-	_, ok := b.agent.Ask(t.Context(), gatherQuery())
-	require.False(t, ok, "nobody has said in time that it takes the query: it is run here")
-	p.back.shut.Store(false)
-	p.there.shut.Store(false)
-	require.Eventually(t, func() bool { return b.server.active.Load() == 0 }, 10*time.Second, time.Millisecond)
-	require.Zero(t, ran.Load(), "and nowhere else")
+	_, ok := b.agent.Ask(t.Context(), newGatherQuery())
+	require.False(t, ok, "the peer did not accept in time, so the owner runs the query")
+	p.toClient.closed.Store(false)
+	p.toServer.closed.Store(false)
+	require.Eventually(t, func() bool { return b.server.inFlight.Load() == 0 }, 10*time.Second, time.Millisecond)
+	require.Zero(t, ran.Load(), "the peer must not run it as well")
 }
 
-// word is a message between the two sides of a simulated handover, or a timer of one of them.
-type word struct {
-	kind kind
+// simMessage is a message between the two sides of a simulated handover, or a timer of one of them.
+type simMessage struct {
+	kind frameKind
 	at   int
 }
 
-// exchange is a simulated handover: words take up to 100 steps, get lost and come twice, also
-// out of order; either side stands still, and the connection may end.
-type exchange struct {
-	rng   *rand.Rand
-	words []word
-	offer offer
-	h     *handover
-	// runs counts who runs the query: the side that has it, and the one that took it.
-	here, there int
-	over        bool
+// handoverSim is a simulated handover. Messages take up to 100 steps, and are lost, duplicated and
+// reordered. Either side may be paused, and the connection may be closed.
+type handoverSim struct {
+	rng      *rand.Rand
+	messages []simMessage
+	offer    offerState
+	handover *handover
+	// localRuns and remoteRuns count the runs at the owner and at the peer.
+	localRuns, remoteRuns int
+	cancelled             bool
 }
 
-func (x *exchange) say(k kind, now int) {
+func (x *handoverSim) send(kind frameKind, now int) {
 	for range 1 + x.rng.IntN(2) {
 		if x.rng.IntN(5) > 0 {
-			x.words = append(x.words, word{kind: k, at: now + x.rng.IntN(100)})
+			x.messages = append(x.messages, simMessage{kind: kind, at: now + x.rng.IntN(100)})
 		}
 	}
 }
 
-// hear takes over one word.
-func (x *exchange) hear(w word) {
-	switch w.kind {
+// receive handles one message.
+func (x *handoverSim) receive(m simMessage) {
+	switch m.kind {
 	case kindQuery:
-		x.say(kindTaken, w.at)
-	case kindTaken:
-		if x.offer.taken() {
-			x.say(kindGrant, w.at)
+		x.send(kindAccepted, m.at)
+	case kindAccepted:
+		if x.offer.accept() {
+			x.send(kindGrant, m.at)
 		}
 	case kindGrant:
-		if !x.h.granted && !x.over {
-			x.there++
+		if !x.handover.granted && !x.cancelled {
+			x.remoteRuns++
 		}
-		x.h.grant()
+		x.handover.grant()
 	case kindCancel:
-		x.over = true
-	case kindDeclined: // The time for taking it is over, or the connection has ended.
-		if x.offer.refused() && x.here == 0 {
-			x.here++
-			x.say(kindCancel, w.at)
+		x.cancelled = true
+	case kindDeclined: // acceptTimeout has expired, or the connection is closed.
+		if x.offer.withdraw() && x.localRuns == 0 {
+			x.localRuns++
+			x.send(kindCancel, m.at)
 		}
 	}
 }
 
-// Whatever is lost, late or doubled between two instances, one of them at most runs a query;
-// where nothing goes wrong, the one that was asked does.
-func TestHandoverHasOneOwner(t *testing.T) {
-	both, none := 0, 0
+// Guards against a query that both instances run, whichever messages are lost, delayed or
+// duplicated. Without faults the peer runs it.
+func TestHandoverHasAtMostOneOwner(t *testing.T) {
+	remote, none := 0, 0
 	for seed := range uint64(20000) {
-		x := &exchange{rng: rand.New(rand.NewPCG(seed, 7)), h: newHandover()}
-		x.say(kindQuery, 0)
-		x.words = append(x.words, word{kind: kindDeclined, at: 40 + x.rng.IntN(200)})
-		for len(x.words) > 0 {
-			slices.SortStableFunc(x.words, func(a, b word) int { return cmp.Compare(a.at, b.at) })
-			next := x.words[0]
-			x.words = x.words[1:]
-			x.hear(next)
+		x := &handoverSim{rng: rand.New(rand.NewPCG(seed, 7)), handover: newHandover()}
+		x.send(kindQuery, 0)
+		x.messages = append(x.messages, simMessage{kind: kindDeclined, at: 40 + x.rng.IntN(200)})
+		for len(x.messages) > 0 {
+			slices.SortStableFunc(x.messages, func(a, b simMessage) int { return cmp.Compare(a.at, b.at) })
+			next := x.messages[0]
+			x.messages = x.messages[1:]
+			x.receive(next)
 		}
-		require.LessOrEqual(t, x.here+x.there, 1, "seed %d", seed)
-		if x.there == 1 {
-			both++
+		require.LessOrEqual(t, x.localRuns+x.remoteRuns, 1, "seed %d", seed)
+		if x.remoteRuns == 1 {
+			remote++
 		}
-		if x.here+x.there == 0 {
+		if x.localRuns+x.remoteRuns == 0 {
 			none++
 		}
 	}
-	require.Positive(t, both)
-	require.Positive(t, none, "a grant that was lost leaves it with nobody: its caller is told that it may have run")
-	x := &exchange{h: newHandover()}
-	require.True(t, x.offer.taken())
-	x.hear(word{kind: kindGrant})
-	require.Equal(t, 1, x.there)
-	require.False(t, x.offer.refused())
-	require.False(t, x.offer.taken(), "a second word of the same changes nothing")
+	require.Positive(t, remote)
+	require.Positive(t, none, "after a lost grant nobody runs the query, and its caller is told that it may have run")
+	x := &handoverSim{handover: newHandover()}
+	require.True(t, x.offer.accept())
+	x.receive(simMessage{kind: kindGrant})
+	require.Equal(t, 1, x.remoteRuns)
+	require.False(t, x.offer.withdraw())
+	require.False(t, x.offer.accept(), "a duplicate message must have no effect")
 }
 
-// A caller that stands still neither grants a query nor takes it back: the peer waits for a
-// while and then declines it, unrun.
-func TestQueryThatIsNeitherGrantedNorTakenBack(t *testing.T) {
+// Guards against a peer that waits forever for an owner that is paused and neither grants nor
+// cancels a query. The peer declines the query after grantTimeout without running it.
+func TestQueryNeitherGrantedNorWithdrawnIsDeclined(t *testing.T) {
 	var ran atomic.Int64
-	b := newAskBench(t, func(_ context.Context, _ *gateway.Request, _ int64, granted func() bool) (gateway.Answer, bool) {
+	b := newQueryFixture(t, func(_ context.Context, _ *gateway.Request, _ int64, granted func() bool) (gateway.Answer, bool) {
 		if !granted() {
 			return gateway.Answer{}, false
 		}
 		ran.Add(1)
-		return half(), true
+		return partialAnswer(), true
 	})
-	_, a, ok := b.conn.ask(gatherQuery())
+	_, pending, ok := b.conn.sendQuery(newGatherQuery())
 	require.True(t, ok)
-	require.Equal(t, queryTaken, (<-a.events).kind)
-	require.Equal(t, queryDeclined, (<-a.events).kind)
+	require.Equal(t, queryAccepted, (<-pending.events).kind)
+	require.Equal(t, queryDeclined, (<-pending.events).kind)
 	require.Zero(t, ran.Load())
 }
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -1,14 +1,16 @@
-// Package peers lets the instances of a deployment act together. An agent keeps the
-// membership by datagrams; a query's requests to leafs of another availability zone go
-// in one message to a peer there, which sends them on and returns the merged records.
+// Package peers implements the cooperation between the instances of a deployment. An agent
+// (Peers) maintains the cluster membership by gossip over UDP. Requests of a query to leafs in
+// another availability zone are sent as one batch to a peer in that zone, which forwards them to
+// the leafs and returns the merged records. Within a zone a few instances, the gatherers, run
+// whole queries for the others.
 //
-// Why: a request to a leaf takes about 215 bytes and its reply 190 besides the records,
-// nearly the same for each of a query's shards, and bytes between zones are billed. The
-// decisions stay with the instance that has the query: which leaf is asked, when a
-// second one is, what counts against a budget. A peer only sends and merges.
+// Batching saves billed cross-zone traffic: a leaf request takes about 215 bytes and its reply 190
+// bytes in addition to the records, nearly identical for each shard of a query. The instance that
+// owns the query still decides which leaf is asked, when a second request is sent and what counts
+// against a budget. A peer only forwards and merges.
 //
-// Peers are not authenticated: whoever reaches an instance's internal port also reaches
-// the leafs. The deployment's network keeps callers from both.
+// Peers are not authenticated: whoever can connect to the internal port of an instance can also
+// connect to the leafs. The network of the deployment must block callers from both.
 package peers
 
 import (
@@ -28,112 +30,116 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// errPeerLost: the peer that a call went through is gone, or did not answer.
-var errPeerLost = errors.New("the peer did not return a reply")
+// errPeerLost is reported for calls whose peer disconnected or did not answer.
+var errPeerLost = errors.New("peer disconnected or timed out before replying")
 
 const (
-	// tick is how often timers run and connections are looked after.
-	tick = 100 * time.Millisecond
-	// tickFirst is the same for tickFirstFor after the start: the first answers of others
-	// come within milliseconds, and callers wait for what they say.
-	tickFirst    = 20 * time.Millisecond
-	tickFirstFor = 2 * time.Second
-	// datagram bounds a membership message.
-	datagram = 2048
-	// avoidFor is how long a peer that was silent, refused or ended its connection
-	// is not given batches.
-	avoidFor = 2 * time.Second
-	// wayMost is how much longer than the peer accounts for a batch may take on
-	// average: ten round trips between zones. A peer starved of processor time takes
-	// longer, and its leafs are better asked directly.
-	wayMost = 25 * time.Millisecond
+	// tickInterval is the period of the membership timers and connection updates.
+	tickInterval = 100 * time.Millisecond
+	// startupTickInterval replaces tickInterval during startupPeriod: the first responses of
+	// peers arrive within milliseconds, and callers wait for the state that they carry.
+	startupTickInterval = 20 * time.Millisecond
+	startupPeriod       = 2 * time.Second
+	// maxDatagramBytes is the maximum size of a received membership datagram.
+	maxDatagramBytes = 2048
+	// avoidDuration is how long a peer gets no work after it timed out, refused a connection
+	// or closed one.
+	avoidDuration = 2 * time.Second
+	// maxBatchRTT is the maximum average round-trip time of batches, excluding the processing
+	// time that the peer reports. It is ten round trips between zones. A peer that is short of
+	// processor time exceeds it; asking its leafs directly is then faster.
+	maxBatchRTT = 25 * time.Millisecond
 )
 
-// Peers is this instance's part in the deployment. It implements gateway.Batcher.
+// Peers is the agent that connects this instance with the other instances of the deployment.
+// It implements gateway.Batcher and gateway.Gatherers.
 type Peers struct {
 	self  membership.Member
 	codec Codec
 	log   *oplog.Log
 	udp   *net.UDPConn
 
-	mu      sync.Mutex
-	members *membership.State
-	conns   map[string]*clientConn
-	dialing map[string]bool
-	avoid   map[string]time.Time
+	// mu guards the membership, the connections and the roles. The maps are keyed by member name.
+	mu         sync.Mutex
+	members    *membership.State
+	conns      map[string]*clientConn
+	dialing    map[string]bool
+	avoidUntil map[string]time.Time
 
-	// roles is who works for whom, looked at each tick.
-	roles  roles
-	drawer roleDrawer
-	slack  slackShare
-	// feeds is nil where this instance reads the store by itself.
-	feeds *feeds
-	// quarantine knows the requests that end leafs; nil: nothing is told of them.
+	// roles are the current role assignments, updated on each tick.
+	roles    roles
+	assigner roleAssigner
+	burst    burstShare
+	// subscriber follows the store through peers; nil if this instance reads the store only
+	// by itself.
+	subscriber *feedSubscriber
+	// quarantine holds the requests that make leafs crash; nil disables sharing them.
 	quarantine *quarantine.Table
-	// shared is told this instance's part of the slack, and warmers who may send requests to cold
-	// leafs.
-	shared  func(replica.Bursts)
-	warmers func(replica.Warmers)
-	warming warming
+	// setBursts receives this instance's share of the burst budget, and setWarmers the
+	// instances that may send requests to cold leafs; nil disables the computation.
+	setBursts  func(replica.Bursts)
+	setWarmers func(replica.Warmers)
+	warmup     warmupPlanner
 
-	// BatchesSent and Fallbacks count batches that went through a peer, and those that
-	// found none.
+	// BatchesSent counts batches sent through a peer, BatchFallbacks those for which no usable
+	// peer was available, and PeerTimeouts the times that a peer did not answer in time.
 	BatchesSent, BatchFallbacks, PeerTimeouts atomic.Int64
-	// QueriesHandedOff counts queries that a gatherer was asked to run, Declined those that it
-	// did not run.
+	// QueriesHandedOff counts queries offered to a gatherer, QueriesDeclined those that the
+	// gatherer declined, or whose connection was closed before they were granted.
 	QueriesHandedOff, QueriesDeclined atomic.Int64
-	// QueriesTakenLate counts queries that a peer took after this instance had taken them back.
+	// QueriesTakenLate counts queries that a peer accepted after this instance had withdrawn
+	// them.
 	QueriesTakenLate atomic.Int64
 	done             chan struct{}
 	close            sync.Once
 }
 
-// New returns the agent of an instance that listens for datagrams on udp.
+// New returns the agent of an instance that exchanges membership datagrams on udp.
 func New(self membership.Member, seeds []string, udp *net.UDPConn, codec Codec, log *oplog.Log) *Peers {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Peers{
 		self: self, codec: codec, log: log, udp: udp,
 		members: membership.New(self, seeds, membership.Defaults(), rng, time.Now()),
-		conns:   make(map[string]*clientConn), dialing: make(map[string]bool), avoid: make(map[string]time.Time),
+		conns:   make(map[string]*clientConn), dialing: make(map[string]bool), avoidUntil: make(map[string]time.Time),
 		done: make(chan struct{}),
 	}
 }
 
-// EnableBurstSharing lets told know this instance's part of the slack, each tick. It is called
-// before Run.
-func (p *Peers) EnableBurstSharing(slack BurstBudget, told func(replica.Bursts)) {
-	p.slack = slackShare{slack: slack, started: time.Now()}
-	p.shared = told
+// EnableBurstSharing makes the agent compute this instance's share of the burst budget on each
+// tick and pass it to apply. It must be called before Run.
+func (p *Peers) EnableBurstSharing(budget BurstBudget, apply func(replica.Bursts)) {
+	p.burst = burstShare{budget: budget, started: time.Now()}
+	p.setBursts = apply
 }
 
-// EnableWarmup lets told know who may send requests to cold leafs, each tick. zones are those that
-// have instances, and expectsPeers says that this instance is not the only one. It is called before
-// Run.
-func (p *Peers) EnableWarmup(zones []string, expectsPeers bool, told func(replica.Warmers)) {
-	p.warming = warming{zones: zones, expectsPeers: expectsPeers}
-	p.warmers = told
+// EnableWarmup makes the agent determine on each tick which instances may send requests to cold
+// leafs, and pass them to apply. zones are the zones that have instances; expectsPeers is false if
+// this is the only instance of the deployment. It must be called before Run.
+func (p *Peers) EnableWarmup(zones []string, expectsPeers bool, apply func(replica.Warmers)) {
+	p.warmup = warmupPlanner{zones: zones, expectsPeers: expectsPeers}
+	p.setWarmers = apply
 }
 
-// EnableQuarantineSharing lets the instances tell each other of requests that end leafs. It is called
-// before Run.
+// EnableQuarantineSharing makes the agent exchange with its peers the requests in table that make
+// leafs crash. It must be called before Run.
 func (p *Peers) EnableQuarantineSharing(table *quarantine.Table) { p.quarantine = table }
 
-// Run keeps the membership and the connections until Close.
+// Run maintains the membership and the connections until Close is called.
 func (p *Peers) Run() {
 	go p.receive()
 	started := time.Now()
-	ticker := time.NewTicker(tickFirst)
+	ticker := time.NewTicker(startupTickInterval)
 	defer ticker.Stop()
-	young := true
+	startingUp := true
 	for {
 		select {
 		case now := <-ticker.C:
-			p.transmit(p.step(now))
-			p.tell(now)
-			p.connect(now)
-			if young && now.Sub(started) > tickFirstFor {
-				young = false
-				ticker.Reset(tick)
+			p.sendAll(p.tickMembership(now))
+			p.broadcastQuarantine(now)
+			p.updateConnections(now)
+			if startingUp && now.Sub(started) > startupPeriod {
+				startingUp = false
+				ticker.Reset(tickInterval)
 			}
 		case <-p.done:
 			return
@@ -141,34 +147,34 @@
 	}
 }
 
-// Close ends the agent and its connections.
+// Close stops the agent and closes its connections.
 func (p *Peers) Close() {
 	p.close.Do(func() { close(p.done) })
-	_ = p.udp.Close() // Nothing is left to be done about an error.
+	_ = p.udp.Close() // The agent stops; the error changes nothing.
 	p.mu.Lock()
 	conns := p.conns
 	p.conns = make(map[string]*clientConn)
 	p.mu.Unlock()
 	for _, c := range conns {
-		c.end(net.ErrClosed)
+		c.closeWithError(net.ErrClosed)
 	}
 }
 
-// Self is this instance as its peers know it.
+// Self returns this instance as it announces itself to its peers.
 func (p *Peers) Self() membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.Self()
 }
 
-// Members lists the other instances that are known.
+// Members returns the other known instances.
 func (p *Peers) Members() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.Members()
 }
 
-// Connected lists the peers that are connected.
+// Connected returns the names of the connected peers in sorted order.
 func (p *Peers) Connected() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,9 +182,9 @@
 }
 
 // Send implements gateway.Batcher.
-func (p *Peers) Send(b gateway.Batch, take func([]gateway.BatchReply)) (cancel func(), ok bool) {
-	if c := p.conn(b.Zone, time.Now()); c != nil {
-		cancel, ok = c.send(b, take)
+func (p *Peers) Send(b gateway.Batch, deliver func([]gateway.BatchReply)) (cancel func(), ok bool) {
+	if c := p.batcherConn(b.Zone, time.Now()); c != nil {
+		cancel, ok = c.sendBatch(b, deliver)
 	}
 	if !ok {
 		p.BatchFallbacks.Add(1)
@@ -188,112 +194,116 @@
 	return cancel, true
 }
 
-// conn is the connection to the peer of a zone, nil without one that is well.
-func (p *Peers) conn(zone string, now time.Time) *clientConn {
+// batcherConn returns the connection to the preferred usable batcher in zone, or nil if there is
+// none.
+func (p *Peers) batcherConn(zone string, now time.Time) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.firstWell(p.roles.batchers[zone], now)
+	return p.firstUsable(p.roles.batchers[zone], now)
 }
 
-// gatherer is the connection to the peer that runs this instance's queries, nil where it
-// runs them itself or none is well.
-func (p *Peers) gatherer(now time.Time) *clientConn {
+// gathererConn returns the connection to the gatherer that runs this instance's queries, or nil if
+// this instance is a gatherer itself or no gatherer is usable.
+func (p *Peers) gathererConn(now time.Time) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.firstWell(p.roles.gatherers, now)
+	return p.firstUsable(p.roles.gatherers, now)
 }
 
-// firstWell is the connection to the first of some members that is well. One that is
-// short of processor time is avoided for a while. mu is held.
-func (p *Peers) firstWell(members []membership.Member, now time.Time) *clientConn {
+// firstUsable returns the connection to the first usable member, or nil. A peer whose average
+// round-trip time shows that it is short of processor time is avoided for avoidDuration. mu must be
+// held.
+func (p *Peers) firstUsable(members []membership.Member, now time.Time) *clientConn {
 	for _, m := range members {
 		c := p.conns[m.Name]
-		if c == nil || now.Before(p.avoid[m.Name]) {
+		if c == nil || now.Before(p.avoidUntil[m.Name]) {
 			continue
 		}
-		usable, _, way := c.state()
-		if usable && way < wayMost {
+		usable, _, batchRTT := c.state()
+		if usable && batchRTT < maxBatchRTT {
 			return c
 		}
 		if usable {
-			p.avoid[m.Name] = now.Add(avoidFor)
-			c.forgetWay()
+			p.avoidUntil[m.Name] = now.Add(avoidDuration)
+			c.resetBatchRTT()
 		}
 	}
 	return nil
 }
 
-// connect opens the connections that are to be used and closes those that are not.
-func (p *Peers) connect(now time.Time) {
+// updateConnections reassigns the roles, opens the connections that they need and closes idle ones
+// that are no longer needed.
+func (p *Peers) updateConnections(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self, members := p.members.Self(), p.members.Members()
-	p.roles = p.drawer.draw(self, members, func(m membership.Member) bool { return now.Before(p.avoid[m.Name]) })
-	if p.shared != nil {
-		p.shared(p.slack.share(p.roles, members, self.Zone, now))
+	p.roles = p.assigner.assign(self, members, func(m membership.Member) bool { return now.Before(p.avoidUntil[m.Name]) })
+	if p.setBursts != nil {
+		p.setBursts(p.burst.compute(p.roles, members, self.Zone, now))
 	}
-	if p.warmers != nil {
-		p.warmers(p.warming.step(self, members, p.roles, now))
+	if p.setWarmers != nil {
+		p.setWarmers(p.warmup.update(self, members, p.roles, now))
 	}
-	listening := make(map[string]bool)
-	for _, name := range p.follow(now) {
-		listening[name] = true
+	subscribed := make(map[string]bool)
+	for _, name := range p.chooseFeeds(now) {
+		subscribed[name] = true
 	}
 	wanted := make(map[string]bool)
-	for _, m := range p.roles.wanted(listening) {
+	for _, m := range p.roles.connectTargets(subscribed) {
 		wanted[m.Name] = true
 		if p.conns[m.Name] == nil && !p.dialing[m.Name] {
 			p.dialing[m.Name] = true
-			go p.open(m)
+			go p.connectTo(m)
 		}
 	}
-	p.subscribe(listening)
+	p.updateSubscriptions(subscribed)
 	for name, c := range p.conns {
 		if _, open, _ := c.state(); !wanted[name] && open == 0 {
 			delete(p.conns, name)
-			go c.end(net.ErrClosed)
+			go c.closeWithError(net.ErrClosed)
 		}
 	}
 }
 
-// open connects to a peer.
-func (p *Peers) open(m membership.Member) {
+// connectTo dials a peer and starts reading from the connection.
+func (p *Peers) connectTo(m membership.Member) {
 	c, err := dial(m, p.self, p.codec)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.dialing, m.Name)
 	if err != nil {
-		p.avoid[m.Name] = time.Now().Add(avoidFor)
+		p.avoidUntil[m.Name] = time.Now().Add(avoidDuration)
 		p.log.Decision("peer_unreached", oplog.Fields{"peer": m.Name, "peer_zone": m.Zone, "error": err.Error()})
 		return
 	}
-	c.silent, c.ended, c.late = p.silent, p.ended, p.takenLate
-	if p.feeds != nil {
-		c.news, c.page = p.heardNews, p.heardPage
+	c.onTimeout, c.onClosed, c.onLateAccept = p.handleTimeout, p.handleConnClosed, p.handleLateAccept
+	if p.subscriber != nil {
+		c.onFeedStatus, c.onPage = p.handleFeedStatus, p.handlePage
 	}
 	p.conns[m.Name] = c
 	go c.read()
 	p.log.Decision("peer_connected", oplog.Fields{"peer": m.Name, "peer_zone": m.Zone})
 }
 
-// silent avoids a peer that does not answer in time.
-func (p *Peers) silent(c *clientConn) {
+// handleTimeout avoids a peer that did not answer in time.
+func (p *Peers) handleTimeout(c *clientConn) {
 	p.PeerTimeouts.Add(1)
 	p.mu.Lock()
-	p.avoid[c.peer.Name] = time.Now().Add(avoidFor)
+	p.avoidUntil[c.peer.Name] = time.Now().Add(avoidDuration)
 	p.mu.Unlock()
-	p.log.Decision("peer_silent", oplog.Fields{"peer": c.peer.Name, "peer_zone": c.peer.Zone, "avoided_ms": avoidFor.Milliseconds()})
+	p.log.Decision("peer_silent", oplog.Fields{"peer": c.peer.Name, "peer_zone": c.peer.Zone, "avoided_ms": avoidDuration.Milliseconds()})
 }
 
-// ended forgets a connection.
-func (p *Peers) ended(c *clientConn, err error) {
+// handleConnClosed removes a closed connection and avoids its peer, unless the agent had already
+// dropped the connection itself.
+func (p *Peers) handleConnClosed(c *clientConn, err error) {
 	p.mu.Lock()
 	if p.conns[c.peer.Name] == c {
 		delete(p.conns, c.peer.Name)
-		p.avoid[c.peer.Name] = time.Now().Add(avoidFor)
+		p.avoidUntil[c.peer.Name] = time.Now().Add(avoidDuration)
 	}
-	if p.feeds != nil {
-		delete(p.feeds.heard, c.peer.Name)
+	if p.subscriber != nil {
+		delete(p.subscriber.statuses, c.peer.Name)
 	}
 	p.mu.Unlock()
 	if !errors.Is(err, net.ErrClosed) {
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -25,8 +25,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// textCodec is an installation whose messages are texts: a part's body is its proof, and
-// merging joins bodies.
+// textCodec is a Codec for text messages. Merging joins the bodies of the parts.
 type textCodec struct{}
 
 type textReply struct {
@@ -47,17 +46,17 @@
 func (textCodec) JoinReply(proof string, body []byte) gateway.Content { return textReply{proof, body} }
 func (textCodec) Merge(bodies [][]byte, _ int) []byte                 { return bytes.Join(bodies, []byte("+")) }
 
-// fakeLeafs answers as a test says.
+// fakeLeafs is a gateway.Leafs that answers with the function do.
 type fakeLeafs struct {
 	do func(ctx context.Context, call gateway.LeafCall) gateway.LeafReply
 
-	mu   sync.Mutex
-	seen []gateway.LeafCall
+	mu       sync.Mutex
+	received []gateway.LeafCall
 }
 
 func (f *fakeLeafs) Do(ctx context.Context, call gateway.LeafCall) gateway.LeafReply {
 	f.mu.Lock()
-	f.seen = append(f.seen, call)
+	f.received = append(f.received, call)
 	f.mu.Unlock()
 	return f.do(ctx, call)
 }
@@ -68,38 +67,38 @@
 func (f *fakeLeafs) calls() []gateway.LeafCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen
+	return f.received
 }
 
-// answered is a success of a leaf.
-func answered(call gateway.LeafCall) gateway.LeafReply {
+// successReply returns the successful reply of a leaf.
+func successReply(call gateway.LeafCall) gateway.LeafReply {
 	return gateway.LeafReply{Outcome: replica.Answered, Status: 200, Content: textReply{proof: "p-" + call.Leaf.ID, body: []byte(call.Leaf.ID)}}
 }
 
-// bench is a server, and a caller's connection to it.
-type bench struct {
+// serverFixture is a server, and a client connection to it.
+type serverFixture struct {
 	t       *testing.T
 	table   *replica.Table
 	leafs   *fakeLeafs
 	queries QueryRunner
 	server  *Server
 	conn    *clientConn
-	silent  chan struct{}
-	ended   chan error
+	silent  chan struct{} // Receives the calls of onTimeout.
+	ended   chan error    // Receives the errors passed to onClosed.
 }
 
-func quietLog() *oplog.Log {
+func discardLog() *oplog.Log {
 	return oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 5, Burst: 20, Buffer: 64})
 }
 
-func newBench(t *testing.T, do func(context.Context, gateway.LeafCall) gateway.LeafReply) *bench {
+func newServerFixture(t *testing.T, do func(context.Context, gateway.LeafCall) gateway.LeafReply) *serverFixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &bench{
+	b := &serverFixture{
 		t: t, table: replica.NewTable(replica.Options{}), leafs: &fakeLeafs{do: do},
 		silent: make(chan struct{}, 16), ended: make(chan error, 16),
 	}
-	b.server, err = NewServer(ln, b.table, b.leafs, b.queries, textCodec{}, 64, 200, quietLog())
+	b.server, err = NewServer(ln, b.table, b.leafs, b.queries, textCodec{}, 64, 200, discardLog())
 	require.NoError(t, err)
 	go b.server.Run()
 	t.Cleanup(b.server.Close)
@@ -107,18 +106,18 @@
 	return b
 }
 
-func (b *bench) dial(addr string) *clientConn {
+func (b *serverFixture) dial(addr string) *clientConn {
 	c, err := dial(membership.Member{Name: "peer", Addr: addr, Zone: "z2"}, membership.Member{Name: "me", Zone: "z1"}, textCodec{})
 	require.NoError(b.t, err)
-	c.silent = func(*clientConn) { b.silent <- struct{}{} }
-	c.ended = func(_ *clientConn, err error) { b.ended <- err }
+	c.onTimeout = func(*clientConn) { b.silent <- struct{}{} }
+	c.onClosed = func(_ *clientConn, err error) { b.ended <- err }
 	go c.read()
-	b.t.Cleanup(func() { c.end(net.ErrClosed) })
+	b.t.Cleanup(func() { c.closeWithError(net.ErrClosed) })
 	return c
 }
 
-// leafs are calls to leafs with the given IDs.
-func leafs(ids ...string) []gateway.LeafCall {
+// leafCalls returns calls to leafs with the given IDs.
+func leafCalls(ids ...string) []gateway.LeafCall {
 	var out []gateway.LeafCall
 	for _, id := range ids {
 		out = append(out, gateway.LeafCall{Leaf: replica.Leaf{ID: id, Addr: id + ":1", Services: []string{"s"}}})
@@ -126,8 +125,8 @@
 	return out
 }
 
-// message is a batch of one request.
-func message(flush time.Duration, calls []gateway.LeafCall) gateway.Batch {
+// newTestBatch returns a batch for one request.
+func newTestBatch(flush time.Duration, calls []gateway.LeafCall) gateway.Batch {
 	header := http.Header{"X-Own-Id": {"r1"}, "Accept": {"*/*", "text/plain"}}
 	return gateway.Batch{
 		Request: &gateway.Request{ID: "r1", Content: Request{Method: "GET", Target: "/x?y", Host: "h", Header: header, Body: []byte("b")}},
@@ -136,19 +135,21 @@
 	}
 }
 
-// sink collects groups of replies.
-type sink chan []gateway.BatchReply
+// replySink collects the groups of replies that are delivered together.
+type replySink chan []gateway.BatchReply
 
-func (s sink) take(r []gateway.BatchReply) { s <- r }
+func (s replySink) take(r []gateway.BatchReply) { s <- r }
 
-func TestBatchIsSentAndMerged(t *testing.T) {
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return answered(call) })
+// The replies of a batch are delivered together if all arrive before the flush time, and the first
+// one gets the merged records. The leafs receive the request as the caller sent it.
+func TestBatchRepliesAreMerged(t *testing.T) {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return successReply(call) })
 	for range 2 {
-		got := make(sink, 4)
-		_, ok := b.conn.send(message(time.Second, leafs("a", "b", "c")), got.take)
+		got := make(replySink, 4)
+		_, ok := b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a", "b", "c")), got.take)
 		require.True(t, ok)
 		group := <-got
-		require.Len(t, group, 3, "all together, since all were in before the time of the first")
+		require.Len(t, group, 3, "all replies arrived before the flush time")
 		merged := 0
 		for _, r := range group {
 			require.Equal(t, replica.Answered, r.Reply.Outcome)
@@ -159,30 +160,30 @@
 				require.Len(t, reply.body, len("a+b+c"))
 			}
 		}
-		require.Equal(t, 1, merged, "the records go with one of them")
+		require.Equal(t, 1, merged, "one reply must have all records")
 	}
 	call := b.leafs.calls()[5]
 	require.Equal(t, "r1", call.Request.ID)
-	want := message(0, nil).Request.Content.(Request)
-	require.Equal(t, want, call.Request.Content, "what leafs see is what the caller sent")
+	want := newTestBatch(0, nil).Request.Content.(Request)
+	require.Equal(t, want, call.Request.Content, "leafs must receive what the caller sent")
 	require.WithinDuration(t, time.Now().Add(2*time.Second), call.Deadline, time.Second)
 }
 
-// A failure is sent back at once, so that another leaf can be asked; a slow leaf does
-// not hold the others' replies.
-func TestFailuresAndSlowLeafsHoldNothingBack(t *testing.T) {
+// Guards against replies that wait for a slow leaf. A failure must be returned at once, so that
+// another leaf can be asked.
+func TestFailuresAndSlowLeafsDoNotDelayReplies(t *testing.T) {
 	release := make(chan struct{})
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
 		switch call.Leaf.ID {
 		case "bad":
 			return gateway.LeafReply{Outcome: replica.Refused, Status: 503}
 		case "slow":
 			<-release
 		}
-		return answered(call)
+		return successReply(call)
 	})
-	got := make(sink, 4)
-	b.conn.send(message(50*time.Millisecond, leafs("good", "slow", "bad")), got.take)
+	got := make(replySink, 4)
+	b.conn.sendBatch(newTestBatch(50*time.Millisecond, leafCalls("good", "slow", "bad")), got.take)
 	seen := map[int]replica.Outcome{}
 	for len(seen) < 2 {
 		for _, r := range <-got {
@@ -197,22 +198,21 @@
 	require.Equal(t, "slow", string(last[0].Reply.Content.(textReply).body))
 }
 
-// Symptom: leafs go on working for callers that have left. Sequence: the caller's
-// instance cancels the batch, or goes away itself. Cause it guards against: a peer that
-// works on for nobody.
-func TestWorkEndsWithItsCaller(t *testing.T) {
-	for name, leave := range map[string]func(*bench, func()){
-		"cancelled":  func(_ *bench, cancel func()) { cancel() },
-		"connection": func(b *bench, _ func()) { b.conn.end(net.ErrClosed) },
+// Guards against leafs that keep working for callers that have left: the instance of the caller
+// cancels the batch or fails itself.
+func TestLeafCallsAreCancelledWhenCallerLeaves(t *testing.T) {
+	for name, leave := range map[string]func(*serverFixture, func()){
+		"cancelled":  func(_ *serverFixture, cancel func()) { cancel() },
+		"connection": func(b *serverFixture, _ func()) { b.conn.closeWithError(net.ErrClosed) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
-			b := newBench(t, func(ctx context.Context, _ gateway.LeafCall) gateway.LeafReply {
+			b := newServerFixture(t, func(ctx context.Context, _ gateway.LeafCall) gateway.LeafReply {
 				<-ctx.Done()
 				close(ended)
 				return gateway.LeafReply{Outcome: replica.Abandoned}
 			})
-			cancel, _ := b.conn.send(message(time.Second, leafs("a")), make(sink, 4).take)
+			cancel, _ := b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a")), make(replySink, 4).take)
 			require.Eventually(t, func() bool { return len(b.leafs.calls()) == 1 }, 5*time.Second, time.Millisecond)
 			leave(b, cancel)
 			<-ended
@@ -220,15 +220,15 @@
 	}
 }
 
-// A planned stop waits for what is done for peers.
-func TestServerDrains(t *testing.T) {
+// A graceful shutdown waits for the work in progress for peers.
+func TestDrainWaitsForOpenBatches(t *testing.T) {
 	release := make(chan struct{})
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
 		<-release
-		return answered(call)
+		return successReply(call)
 	})
-	got := make(sink, 4)
-	b.conn.send(message(time.Second, leafs("a")), got.take)
+	got := make(replySink, 4)
+	b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a")), got.take)
 	require.Eventually(t, func() bool { return len(b.leafs.calls()) == 1 }, 5*time.Second, time.Millisecond)
 	drained := make(chan struct{})
 	go func() {
@@ -237,21 +237,21 @@
 	}()
 	select {
 	case <-drained:
-		t.Fatal("a batch is under way")
-	case <-time.After(5 * drainStep):
+		t.Fatal("drained while a batch was in progress")
+	case <-time.After(5 * drainPollInterval):
 	}
 	close(release)
 	require.Equal(t, replica.Answered, (<-got)[0].Reply.Outcome)
 	<-drained
 }
 
-// A leaf that the peer knows to drain gets nothing, and it certainly did not run; one
-// that it has not heard of is asked at the address that the caller knows.
-func TestPeerKnowsLeafsBetterOrNotAtAll(t *testing.T) {
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return answered(call) })
+// A leaf that the peer knows to be draining is not called, and its call counts as not run. An
+// unknown leaf is called at the address in the batch.
+func TestPeerRefusesDrainingLeafAndAcceptsUnknownLeaf(t *testing.T) {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return successReply(call) })
 	b.table.Upsert(replica.Leaf{ID: "drains", Services: []string{"s"}, Addr: "drains:1", Draining: true}, time.Now())
-	got := make(sink, 4)
-	b.conn.send(message(time.Second, leafs("drains", "new")), got.take)
+	got := make(replySink, 4)
+	b.conn.sendBatch(newTestBatch(time.Second, leafCalls("drains", "new")), got.take)
 	seen := map[int]replica.Outcome{}
 	for len(seen) < 2 {
 		for _, r := range <-got {
@@ -264,18 +264,17 @@
 	require.Len(t, b.leafs.calls(), 1)
 }
 
-// Symptom: queries hang on a peer that is gone. Sequence: it is killed, or stands still,
-// with batches open. Cause it guards against: waiting for it beyond the deadline, or
-// taking what may have run for not run.
-func TestLostPeerGivesEachCallOneOutcome(t *testing.T) {
+// Guards against queries that wait for a lost peer beyond their deadline, and against counting
+// calls as not run that may have run. The peer fails while a batch is open.
+func TestLostPeerFailsEachOpenCallOnce(t *testing.T) {
 	hang := make(chan struct{})
 	t.Cleanup(func() { close(hang) })
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
 		<-hang
-		return answered(call)
+		return successReply(call)
 	})
-	got := make(sink, 4)
-	b.conn.send(message(time.Second, leafs("a", "b")), got.take)
+	got := make(replySink, 4)
+	b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a", "b")), got.take)
 	require.Eventually(t, func() bool { return len(b.leafs.calls()) == 2 }, 5*time.Second, time.Millisecond)
 	b.server.Close()
 	group := <-got
@@ -285,12 +284,12 @@
 		require.False(t, r.Reply.Outcome.NotRun())
 	}
 	<-b.ended
-	_, ok := b.conn.send(message(time.Second, leafs("a")), got.take)
-	require.False(t, ok, "nothing is sent on a connection that has ended")
+	_, ok := b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a")), got.take)
+	require.False(t, ok, "nothing may be sent on a closed connection")
 }
 
-// silentPeer accepts connections and never answers.
-func silentPeer(t *testing.T) string {
+// newSilentPeer returns the address of a listener that accepts connections and never answers.
+func newSilentPeer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -306,52 +305,52 @@
 	return ln.Addr().String()
 }
 
-func TestSilentPeerIsNoticedAndGivenUp(t *testing.T) {
-	b := newBench(t, nil)
-	c := b.dial(silentPeer(t))
-	m := message(10*time.Millisecond, leafs("a"))
+func TestSilentPeerTimesOut(t *testing.T) {
+	b := newServerFixture(t, nil)
+	c := b.dial(newSilentPeer(t))
+	m := newTestBatch(10*time.Millisecond, leafCalls("a"))
 	m.Deadline = time.Now().Add(50 * time.Millisecond)
-	got := make(sink, 4)
-	_, ok := c.send(m, got.take)
+	got := make(replySink, 4)
+	_, ok := c.sendBatch(m, got.take)
 	require.True(t, ok)
 	<-b.silent
 	require.Equal(t, replica.PeerLost, (<-got)[0].Reply.Outcome)
 }
 
-// A peer that answers in time, if only to say that no reply is in, is no silent one.
+// A peer that sends a frame in time is not silent, even if the frame holds no reply.
 func TestPeerWithSlowLeafsIsNotSilent(t *testing.T) {
 	release := make(chan struct{})
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply {
 		<-release
-		return answered(call)
+		return successReply(call)
 	})
-	got := make(sink, 4)
-	b.conn.send(message(10*time.Millisecond, leafs("a")), got.take)
-	time.Sleep(10*time.Millisecond + 2*silence)
+	got := make(replySink, 4)
+	b.conn.sendBatch(newTestBatch(10*time.Millisecond, leafCalls("a")), got.take)
+	time.Sleep(10*time.Millisecond + 2*firstReplyGrace)
 	close(release)
 	require.Equal(t, replica.Answered, (<-got)[0].Reply.Outcome)
 	require.Empty(t, b.silent)
 }
 
-// An instance of another version is not served; the caller finds the connection ended
-// and asks the leafs itself.
-func TestPeersOfAnotherVersionAreNotServed(t *testing.T) {
-	b := newBench(t, nil)
+// Connections with another protocol version are closed, so that the client calls the leafs
+// directly.
+func TestPeerWithOtherProtocolVersionIsRejected(t *testing.T) {
+	b := newServerFixture(t, nil)
 	raw, err := net.Dial("tcp", b.server.listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = raw.Close() }()
-	require.NoError(t, writeFrame(bufio.NewWriter(raw), kindHello, hello{Version: version + 1, Name: "newer"}))
+	require.NoError(t, writeFrame(bufio.NewWriter(raw), kindHello, hello{Version: protocolVersion + 1, Name: "newer"}))
 	_, err = raw.Read(make([]byte, 1))
 	require.Error(t, err)
 }
 
-// Symptom: an instance finds no descriptor for its own calls. Sequence: a stranger opens
-// connections to the peers' port and says nothing. Cause it guards against: accepting them
-// without a bound. A peer that says who it is is served as soon as some have timed out.
-func TestSilentConnectionsAreBounded(t *testing.T) {
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return answered(call) })
+// Guards against running out of file descriptors when a client opens many connections to the peer
+// port and sends nothing. Connected peers are still served, and the silent connections are closed
+// after helloTimeout.
+func TestConnectionsWithoutHelloAreBounded(t *testing.T) {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return successReply(call) })
 	var silent []net.Conn
-	for range 3 * greetingMost {
+	for range 3 * maxAwaitingHello {
 		conn, err := net.Dial("tcp", b.server.listener.Addr().String())
 		require.NoError(t, err)
 		silent = append(silent, conn)
@@ -364,53 +363,53 @@
 	open := func() int {
 		b.server.mu.Lock()
 		defer b.server.mu.Unlock()
-		require.LessOrEqual(t, b.server.greeting, greetingMost)
+		require.LessOrEqual(t, b.server.awaitingHello, maxAwaitingHello)
 		return len(b.server.conns)
 	}
-	require.Eventually(t, func() bool { return b.server.turned.Load() >= 2*greetingMost-1 }, 10*time.Second, time.Millisecond)
-	require.LessOrEqual(t, open(), greetingMost+1)
-	got := make(sink, 4)
-	_, ok := b.conn.send(message(time.Second, leafs("a")), got.take)
+	require.Eventually(t, func() bool { return b.server.rejectedConns.Load() >= 2*maxAwaitingHello-1 }, 10*time.Second, time.Millisecond)
+	require.LessOrEqual(t, open(), maxAwaitingHello+1)
+	got := make(replySink, 4)
+	_, ok := b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a")), got.take)
 	require.True(t, ok)
-	require.Equal(t, replica.Answered, (<-got)[0].Reply.Outcome, "who is connected is served")
+	require.Equal(t, replica.Answered, (<-got)[0].Reply.Outcome, "a connected peer must still be served")
 	require.Eventually(t, func() bool { return open() == 1 }, 20*time.Second, 10*time.Millisecond)
 }
 
-// Texts are sent once on a connection, whatever their number.
-func TestTextsAreSentOnce(t *testing.T) {
-	w := refWriter{numbers: map[string]uint16{}}
-	r := refReader{texts: map[uint16]string{}}
-	none, err := r.text(w.ref(""))
+// Each text is sent in full once per connection until maxTexts are stored.
+func TestTextsAreSentOncePerConnection(t *testing.T) {
+	w := textEncoder{numbers: map[string]uint16{}}
+	r := textDecoder{texts: map[uint16]string{}}
+	none, err := r.resolve(w.ref(""))
 	require.NoError(t, err)
 	require.Empty(t, none)
 	for round := range 2 {
-		for i := range maxRefs + 10 {
+		for i := range maxTexts + 10 {
 			want := fmt.Sprint("text-", i)
 			f := w.ref(want)
-			if round > 0 && i < maxRefs {
+			if round > 0 && i < maxTexts {
 				require.Empty(t, f.Text)
 			}
-			got, err := r.text(f)
+			got, err := r.resolve(f)
 			require.NoError(t, err)
 			require.Equal(t, want, got)
 		}
 	}
-	_, err = r.text(ref{Number: 65000})
+	_, err = r.resolve(textRef{Number: 65000})
 	require.ErrorIs(t, err, errUnknownRef)
 }
 
-// FuzzFrames: whatever a peer sends, reading a frame ends, and replies to calls that are
-// not open are dropped.
+// FuzzFrames checks that decoding terminates for any input, and that replies to calls that are not
+// open are dropped.
 func FuzzFrames(f *testing.F) {
 	var seeds [][]byte
 	for _, frame := range []struct {
-		kind kind
+		kind frameKind
 		v    any
 	}{
-		{kindHello, hello{Version: 1}}, {kindBatch, batch{Number: 1, Leafs: []ref{{Number: 1, Text: "a b"}}}},
-		{kindFlush, flush{Number: 1, Parts: []part{{Leaf: 9}}}}, {kindQuery, query{Number: 1, PatienceUs: 9}},
-		{kindAnswer, answer{Number: 1, Lacks: []byte{0, 1}, Proofs: []string{"p"}}}, {kindCancel, numbered{Number: 1}},
-		{kindNews, news{At: at(3)}}, {kindListen, listen{After: at(3)}},
+		{kindHello, hello{Version: 1}}, {kindBatch, batch{Number: 1, Leafs: []textRef{{Number: 1, Text: "a b"}}}},
+		{kindBatchReplies, batchReplies{Number: 1, Parts: []leafPart{{Leaf: 9}}}}, {kindQuery, query{Number: 1, CallerTimeoutUs: 9}},
+		{kindAnswer, answer{Number: 1, Coverage: []byte{0, 1}, Proofs: []string{"p"}}}, {kindCancel, numbered{Number: 1}},
+		{kindFeedStatus, feedStatus{At: pos(3)}}, {kindSubscribe, subscribeRequest{After: pos(3)}},
 	} {
 		var buffer bytes.Buffer
 		_ = writeFrame(bufio.NewWriter(&buffer), frame.kind, frame.v)
@@ -422,36 +421,36 @@
 		if err != nil {
 			return
 		}
-		r := refReader{texts: map[uint16]string{}}
+		r := textDecoder{texts: map[uint16]string{}}
 		if b, err := decode[batch](content); err == nil {
-			_, _ = r.all(b.Leafs) // Must only end.
+			_, _ = r.resolveAll(b.Leafs) // Only has to return.
 		}
 		if q, err := decode[query](content); err == nil {
-			_, _ = r.decode(q.Request) // As above.
+			_, _ = r.decodeRequest(q.Request) // Only has to return.
 		}
 		if a, err := decode[answer](content); err == nil {
 			checkAnswer(t, a)
 		}
-		if got, err := decode[flush](content); err == nil {
-			checkFlush(t, got)
+		if got, err := decode[batchReplies](content); err == nil {
+			checkBatchReplies(t, got)
 		}
 	})
 }
 
-// checkFlush: each open call gets one reply at most.
-func checkFlush(t *testing.T, f flush) {
-	p := &pending{open: []bool{true, true}, left: 2}
-	replies := p.replies(f, textCodec{})
+// checkBatchReplies checks that each open call gets at most one reply.
+func checkBatchReplies(t *testing.T, f batchReplies) {
+	p := &pendingBatch{open: []bool{true, true}, remaining: 2}
+	replies := p.decodeReplies(f, textCodec{})
 	require.LessOrEqual(t, len(replies), 2)
 	for _, reply := range replies {
 		require.NotEmpty(t, reply.Reply.Outcome.String())
 	}
 }
 
-// checkAnswer: an answer that is taken over names a part of each shard that it covers.
+// checkAnswer checks that a decoded answer has a reply for exactly the covered shards.
 func checkAnswer(t *testing.T, f answer) {
 	w := &queryWait{c: &clientConn{codec: textCodec{}}, query: gateway.GatherQuery{Route: &routing.Route{Shards: []string{"s", "t"}}}}
-	a, err := w.answer(f)
+	a, err := w.decodeAnswer(f)
 	if err != nil {
 		return
 	}
--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -12,16 +12,16 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// An instance that has not heard yet that a request ends leafs hands it to a peer in another
-// zone that has: the peer sends it to none.
-func TestPeerKeepsQuarantinedRequestsFromLeafs(t *testing.T) {
-	b := newBench(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return answered(call) })
+// Guards against leafs that crash because the instance with the request does not know yet that it
+// is quarantined. A peer in another zone that knows it must not send the request to its leafs.
+func TestPeerRefusesQuarantinedRequests(t *testing.T) {
+	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return successReply(call) })
 	table := quarantine.NewTable()
 	b.server.SetQuarantine(table)
-	m := message(time.Second, leafs("a", "b"))
+	m := newTestBatch(time.Second, leafCalls("a", "b"))
 	table.Learn(quarantine.Note{Key: textCodec{}.Key(m.Request.Content), Ends: []uint64{1, 2, 3}, LeftMs: 60000}, time.Now())
-	got := make(sink, 4)
-	_, ok := b.conn.send(m, got.take)
+	got := make(replySink, 4)
+	_, ok := b.conn.sendBatch(m, got.take)
 	require.True(t, ok)
 	for seen := 0; seen < 2; {
 		for _, r := range <-got {
@@ -32,13 +32,13 @@
 	require.Empty(t, b.leafs.calls())
 }
 
-// How a leaf ended passes through a peer: the instance that runs the query learns of it.
-func TestEndOfALeafPassesThroughAPeer(t *testing.T) {
-	b := newBench(t, func(context.Context, gateway.LeafCall) gateway.LeafReply {
+// The crash of a leaf during a call through a peer is reported to the instance that runs the query.
+func TestLeafCrashIsReportedThroughPeer(t *testing.T) {
+	b := newServerFixture(t, func(context.Context, gateway.LeafCall) gateway.LeafReply {
 		return gateway.LeafReply{Outcome: replica.Ended}
 	})
-	got := make(sink, 4)
-	_, ok := b.conn.send(message(time.Second, leafs("a")), got.take)
+	got := make(replySink, 4)
+	_, ok := b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a")), got.take)
 	require.True(t, ok)
 	require.Equal(t, replica.Ended, (<-got)[0].Reply.Outcome)
 }
--- /dev/null
+++ b/pkg/peers/queryclient.go
@@ -0,0 +1,322 @@
+package peers
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/indigoyoke/indigoyoke/pkg/errcode"
+	"github.com/indigoyoke/indigoyoke/pkg/fanout"
+	"github.com/indigoyoke/indigoyoke/pkg/gateway"
+	"github.com/indigoyoke/indigoyoke/pkg/oplog"
+)
+
+// handedOffQuery is a query that was offered to a gatherer and has no outcome yet.
+type handedOffQuery struct {
+	// events has room for all events of a query.
+	events chan queryEvent
+	sentAt time.Time
+}
+
+// queryEvent is a change of the state of a handed-off query.
+type queryEvent struct {
+	kind   queryEventKind
+	answer answer
+}
+
+// queryEventKind is the kind of a queryEvent.
+type queryEventKind int
+
+const (
+	queryAccepted queryEventKind = iota
+	queryDeclined
+	queryAnswered
+	queryLost // The connection was closed.
+)
+
+// errMalformedAnswer is returned for repeated frames and answers that do not match the query.
+var errMalformedAnswer = errors.New("answer does not match the query")
+
+// errNoHeartbeat closes the connection to a peer with open queries that sends no heartbeats.
+var errNoHeartbeat = errors.New("no heartbeat from a peer with open queries")
+
+// handleQueryFrame passes a frame about a query to the goroutine that waits for it.
+func (c *clientConn) handleQueryFrame(k frameKind, raw []byte) error {
+	var event queryEvent
+	var number uint64
+	var err error
+	switch k {
+	case kindAccepted, kindDeclined:
+		var n numbered
+		n, err = decode[numbered](raw)
+		number = n.Number
+		event.kind = queryAccepted
+		if k == kindDeclined {
+			event.kind = queryDeclined
+		}
+	case kindAnswer:
+		event.kind = queryAnswered
+		event.answer, err = decode[answer](raw)
+		number = event.answer.Number
+	default:
+		return errFrameKind
+	}
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	q := c.queries[number]
+	if event.kind != queryAccepted {
+		delete(c.queries, number)
+	}
+	if event.kind == queryAnswered && q != nil {
+		c.rtt.observe(time.Since(q.sentAt) - micros(event.answer.ElapsedUs))
+	}
+	request, wasWithdrawn := c.withdrawn[number]
+	delete(c.withdrawn, number)
+	c.mu.Unlock()
+	if q == nil {
+		if wasWithdrawn && event.kind == queryAccepted && c.onLateAccept != nil {
+			c.onLateAccept(c, request)
+		}
+		return nil
+	}
+	select {
+	case q.events <- event:
+	default:
+		return errMalformedAnswer // The frame is a repetition.
+	}
+	return nil
+}
+
+// sendQuery offers a query to the peer. ok is false if nothing was sent.
+func (c *clientConn) sendQuery(q gateway.GatherQuery) (number uint64, pending *handedOffQuery, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return 0, nil, false
+	}
+	c.lastNumber++
+	pending = &handedOffQuery{events: make(chan queryEvent, 3), sentAt: time.Now()}
+	c.queries[c.lastNumber] = pending
+	req := q.Request
+	f := query{
+		Number: c.lastNumber, Request: c.texts.encodeRequest(req.ID, c.codec.Request(req.Content)), ConfigVersion: q.ConfigVersion,
+		AgeUs: uint64(time.Since(req.Arrived).Microseconds()), TransitUs: uint64((req.OnTheWay + c.rttLocked()).Microseconds()),
+		CallerTimeoutUs: uint64(req.Patience.Microseconds()),
+	}
+	if err := c.writeLocked(kindQuery, f); err != nil {
+		go c.closeWithError(err)
+	}
+	return c.lastNumber, pending, true
+}
+
+// sendGrant allows the peer to run a query that it has accepted.
+func (c *clientConn) sendGrant(number uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || c.queries[number] == nil {
+		return
+	}
+	if err := c.writeLocked(kindGrant, numbered{Number: number}); err != nil {
+		go c.closeWithError(err) // The peer may have received the grant and run the query.
+	}
+}
+
+// cancelQuery tells the peer that the answer to a query is no longer needed.
+func (c *clientConn) cancelQuery(number uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || c.queries[number] == nil {
+		return
+	}
+	delete(c.queries, number)
+	if err := c.writeLocked(kindCancel, numbered{Number: number}); err != nil {
+		go c.closeWithError(err)
+	}
+}
+
+// maxWithdrawn is the maximum number of withdrawn queries that a connection remembers.
+const maxWithdrawn = 256
+
+// withdrawQuery cancels a query that the peer did not accept in time.
+func (c *clientConn) withdrawQuery(number uint64, request string) {
+	c.cancelQuery(number)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.withdrawn) >= maxWithdrawn {
+		clear(c.withdrawn)
+	}
+	c.withdrawn[number] = request
+}
+
+// handleLateAccept records that a peer accepted a query after it was withdrawn.
+func (p *Peers) handleLateAccept(c *clientConn, request string) {
+	p.QueriesTakenLate.Add(1)
+	p.log.Decision("query_taken_late", oplog.Fields{"request": request, "peer": c.peer.Name})
+}
+
+// Ask implements gateway.Gatherers.
+func (p *Peers) Ask(ctx context.Context, q gateway.GatherQuery) (gateway.Answer, bool) {
+	c := p.gathererConn(time.Now())
+	if c == nil {
+		return gateway.Answer{}, false
+	}
+	number, pending, ok := c.sendQuery(q)
+	if !ok {
+		return gateway.Answer{}, false
+	}
+	p.QueriesHandedOff.Add(1)
+	wait := &queryWait{p: p, c: c, number: number, handedOff: pending, query: q}
+	return wait.run(ctx)
+}
+
+// queryWait waits for the outcome of a handed-off query.
+type queryWait struct {
+	p         *Peers
+	c         *clientConn
+	number    uint64
+	handedOff *handedOffQuery
+	query     gateway.GatherQuery
+	offer     offerState
+	// expectedBy is when the next frame from the peer is due.
+	expectedBy time.Time
+}
+
+// run waits for the outcome. ok is false if this instance is to run the query itself.
+//
+// The peer may crash, stall or become unreachable. Until the query is granted this instance can
+// run it itself, and does so after acceptTimeout. After that a second run could reach more leafs of
+// a shard than the route allows and would double the load during an overload. The caller is told
+// at once that the query may have run, and can retry.
+func (w *queryWait) run(ctx context.Context) (gateway.Answer, bool) {
+	timer := time.NewTimer(acceptTimeout)
+	defer timer.Stop()
+	w.expectedBy = time.Now().Add(acceptTimeout)
+	for {
+		select {
+		case e := <-w.handedOff.events:
+			if a, ok, done := w.handleEvent(e); done {
+				return a, ok
+			}
+			w.expectedBy = time.Now().Add(heartbeatTimeout)
+			timer.Reset(heartbeatTimeout)
+		case <-timer.C:
+			if a, ok, done := w.handleTimeout(timer); done {
+				return a, ok
+			}
+		case <-ctx.Done():
+			w.c.cancelQuery(w.number)
+			return gateway.Answer{Code: errcode.CallerLeft}, true
+		}
+	}
+}
+
+// handleEvent processes an event of the query. done reports whether a and ok are final.
+func (w *queryWait) handleEvent(e queryEvent) (a gateway.Answer, ok, done bool) {
+	switch e.kind {
+	case queryAccepted:
+		if w.offer.accept() {
+			w.c.sendGrant(w.number)
+		}
+		return a, false, false
+	case queryAnswered:
+		a, err := w.decodeAnswer(e.answer)
+		if err != nil {
+			w.c.closeWithError(err)
+			return w.peerLostAnswer(), true, true
+		}
+		return a, true, true
+	}
+	// The peer declined the query, or the connection was closed.
+	if !w.offer.withdraw() {
+		return w.peerLostAnswer(), true, true
+	}
+	w.p.QueriesDeclined.Add(1)
+	return a, false, true
+}
+
+// handleTimeout is called when no event arrived until expectedBy.
+func (w *queryWait) handleTimeout(timer *time.Timer) (a gateway.Answer, ok, done bool) {
+	now := time.Now()
+	if now.Sub(w.expectedBy) > timerLateThreshold {
+		// This process was paused, and the peer's frame may be waiting to be read.
+		w.expectedBy = now.Add(acceptTimeout)
+		timer.Reset(acceptTimeout)
+		return a, false, false
+	}
+	switch {
+	case w.offer.withdraw():
+		w.query.Request.TakenBack = true
+		w.c.withdrawQuery(w.number, w.query.Request.ID)
+		w.p.log.Decision("query_taken_back", oplog.Fields{
+			"request": w.query.Request.ID, "route": w.query.Route.Name, "peer": w.c.peer.Name,
+			"after_ms": now.Sub(w.query.Request.Arrived).Milliseconds(),
+		})
+		w.p.handleTimeout(w.c)
+		return a, false, true
+	case now.After(w.query.End.Add(answerGrace)):
+		w.c.cancelQuery(w.number)
+		return gateway.Answer{Code: errcode.RequestTimeout}, true, true
+	}
+	idle := w.c.sinceLastFrame(now)
+	if idle >= heartbeatTimeout {
+		w.c.closeWithError(errNoHeartbeat)
+		return w.peerLostAnswer(), true, true
+	}
+	next := min(heartbeatTimeout-idle, max(w.query.End.Add(answerGrace).Sub(now), time.Millisecond))
+	w.expectedBy = now.Add(next)
+	timer.Reset(next)
+	return a, false, false
+}
+
+// sinceLastFrame returns how long ago the last frame arrived, or 0 before the first one.
+func (c *clientConn) sinceLastFrame(now time.Time) time.Duration {
+	last := c.lastFrameAt.Load()
+	if last == nil {
+		return 0
+	}
+	return now.Sub(*last)
+}
+
+// peerLostAnswer logs the loss of the peer of a granted query and returns the answer.
+func (w *queryWait) peerLostAnswer() gateway.Answer {
+	req := w.query.Request
+	w.p.log.Decision("gatherer_lost", oplog.Fields{
+		"request": req.ID, "content": req.Key.String(), "route": w.query.Route.Name, "peer": w.c.peer.Name, "code": errcode.PeerLost.String(),
+		"after_ms": time.Since(req.Arrived).Milliseconds(),
+	})
+	return gateway.Answer{Code: errcode.PeerLost}
+}
+
+// decodeAnswer decodes an answer. The first covered shard gets the merged records.
+func (w *queryWait) decodeAnswer(f answer) (gateway.Answer, error) {
+	a := gateway.Answer{Code: errcode.Code(f.Code), RetryAfter: micros(f.RetryAfterUs)}
+	if !a.Code.Known() || len(f.Coverage) != len(w.query.Route.Shards) || slices.ContainsFunc(f.Coverage, isUnknownCoverage) {
+		return a, errMalformedAnswer
+	}
+	a.Shards = make([]gateway.ShardAnswer, len(f.Coverage))
+	proofs, body := f.Proofs, f.Body
+	for i, coverage := range f.Coverage {
+		a.Shards[i].Lack = fanout.Lack(coverage)
+		if a.Shards[i].Lack != fanout.Covered || a.Code != errcode.OK {
+			continue
+		}
+		if len(proofs) == 0 {
+			return a, errMalformedAnswer
+		}
+		a.Shards[i].Reply = &gateway.LeafReply{Content: w.c.codec.JoinReply(proofs[0], body)}
+		proofs, body = proofs[1:], nil
+	}
+	if len(proofs) > 0 {
+		return a, errMalformedAnswer
+	}
+	return a, nil
+}
+
+// isUnknownCoverage reports whether a coverage value is unknown to this version.
+func isUnknownCoverage(coverage byte) bool { return !fanout.Lack(coverage).Known() }
+
+// micros converts a number of microseconds to a duration.
+func micros(n uint64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/pkg/peers/roles.go
+++ b/pkg/peers/roles.go
@@ -12,72 +12,75 @@
 	"github.com/indigoyoke/indigoyoke/pkg/membership"
 )
 
-// roles is who works for whom, as one instance sees it. All instances that know the same
-// members draw the same gatherers, without a vote.
+// roles are the tasks that the members have for each other, as one instance sees them. All
+// instances that know the same members compute the same gatherers, without coordination.
 type roles struct {
-	// gatherers run this instance's queries, the preferred one first; none where it is
-	// one of them.
+	// gatherers run this instance's queries, the preferred one first. It is empty if this
+	// instance is a gatherer itself.
 	gatherers []membership.Member
-	// batchers are, for each other zone, the peers that send requests to leafs there.
+	// batchers are, for each other zone, the peers that forward batches to the leafs there.
 	batchers map[string][]membership.Member
-	// ahead and behind are the members of the zone that come before and after this instance
-	// in the order in which they read the store.
+	// ahead and behind are the members of this zone before and after this instance in the order
+	// in which members are selected to read the store.
 	ahead, behind []membership.Member
-	// far are members of other zones that read the store, one of each of the next zones.
-	far []membership.Member
-	// place is this instance's among all that read the store, greater than 0 and at most 1.
-	place float64
-	// drawn is how many gatherers the zone has, and near how many other members of it are
-	// in use.
-	drawn, near int
-	// others is how many other members are in use, of all zones.
-	others int
+	// remoteReaders are members of other zones that read the store, one for each of the next
+	// maxRemoteZones zones.
+	remoteReaders []membership.Member
+	// readerPosition is the relative position of this instance among all members that read the
+	// store, greater than 0 and at most 1. It spreads their reads over time.
+	readerPosition float64
+	// gathererCount is the number of gatherers of this zone, and localPeers the number of other
+	// usable members of this zone.
+	gathererCount, localPeers int
+	// usablePeers is the number of other usable members in all zones.
+	usablePeers int
 }
 
 const (
-	// batchersKept is how many batchers of a zone are kept connected: the one in use, and
-	// one more for when it fails.
-	batchersKept = 2
-	// gathererShare is the part of a zone's room that its gatherers have together. The
-	// fewer they are, the more each learns of leafs from the queries that it runs.
-	// Queries use a tenth of a fleet's processors at most in the loads that were seen.
-	gathererShare = 0.25
-	// gatherersLeast is how many a zone has at least, so that one may fail.
-	gatherersLeast = 2
+	// maxBatchersPerZone is the number of batchers per zone that are kept connected: the one in
+	// use, and a standby.
+	maxBatchersPerZone = 2
+	// gathererCapacityShare is the fraction of a zone's capacity that its gatherers have together.
+	// The fewer gatherers there are, the more each learns about the leafs from the queries that it
+	// runs. Queries used at most a tenth of a fleet's processors in the observed loads.
+	gathererCapacityShare = 0.25
+	// minGatherers is the minimum number of gatherers per zone, so that one may fail.
+	minGatherers = 2
 )
 
-// roleDrawer draws the roles anew when something changes that they depend on.
-type roleDrawer struct {
-	of    []candidate
-	drawn roles
+// roleAssigner caches the roles until their inputs change.
+type roleAssigner struct {
+	inputs   []candidate
+	assigned roles
 }
 
-// candidate is a member as the roles depend on it.
+// candidate is a member with the properties that determine the roles.
 type candidate struct {
 	membership.Member
 	avoided bool
 }
 
-// draw is drawRoles, which costs far more than to see that nothing has changed.
-func (d *roleDrawer) draw(self membership.Member, members []membership.Member, avoided func(membership.Member) bool) roles {
-	of := make([]candidate, 0, len(members)+1)
-	of = append(of, candidate{Member: self})
+// assign returns the result of assignRoles. Comparing the inputs is far cheaper than assigning the
+// roles again.
+func (d *roleAssigner) assign(self membership.Member, members []membership.Member, avoided func(membership.Member) bool) roles {
+	inputs := make([]candidate, 0, len(members)+1)
+	inputs = append(inputs, candidate{Member: self})
 	for _, m := range members {
 		if m.Usable() {
-			of = append(of, candidate{Member: m, avoided: avoided(m)})
+			inputs = append(inputs, candidate{Member: m, avoided: avoided(m)})
 		}
 	}
-	for i := range of {
-		of[i].Incarnation = 0 // It rises while nothing else changes.
+	for i := range inputs {
+		inputs[i].Incarnation = 0 // It grows without any change that matters here.
 	}
-	if !slices.Equal(of, d.of) {
-		d.of, d.drawn = of, drawRoles(self, members, avoided)
+	if !slices.Equal(inputs, d.inputs) {
+		d.inputs, d.assigned = inputs, assignRoles(self, members, avoided)
 	}
-	return d.drawn
+	return d.assigned
 }
 
-// drawRoles draws the roles among the members in use that are not to be avoided.
-func drawRoles(self membership.Member, members []membership.Member, avoided func(membership.Member) bool) roles {
+// assignRoles assigns the roles among the usable members that are not avoided.
+func assignRoles(self membership.Member, members []membership.Member, avoided func(membership.Member) bool) roles {
 	zones := make(map[string][]membership.Member)
 	for _, m := range members {
 		if m.Usable() {
@@ -85,35 +88,36 @@
 		}
 	}
 	r := roles{batchers: make(map[string][]membership.Member)}
-	reading := readers(self, zones)
-	r.far, r.place = farReaders(self, reading, avoided), place(self, reading)
+	readers := storeReaders(self, zones)
+	r.remoteReaders, r.readerPosition = selectRemoteReaders(self, readers, avoided), readerPosition(self, readers)
 	for zone, in := range zones {
-		r.others += len(in)
+		r.usablePeers += len(in)
 		if zone == self.Zone {
 			continue
 		}
-		fit := slices.DeleteFunc(in, avoided)
-		preferred(fit, self.Name)
-		r.batchers[zone] = fit[:min(len(fit), batchersKept)]
-	}
-	order := byRoom(self.Zone, append(slices.Clone(zones[self.Zone]), self))
-	at := slices.IndexFunc(order, func(m membership.Member) bool { return m.Name == self.Name })
-	r.ahead, r.behind = order[:at], order[at+1:]
-	drawn := slices.Clone(gatherers(order))
-	r.drawn, r.near = len(drawn), len(zones[self.Zone])
-	if !slices.ContainsFunc(drawn, func(m membership.Member) bool { return m.Name == self.Name }) {
-		preferred(drawn, self.Name)
-		r.gatherers = drawn
+		available := slices.DeleteFunc(in, avoided)
+		sortByPreference(available, self.Name)
+		r.batchers[zone] = available[:min(len(available), maxBatchersPerZone)]
+	}
+	order := sortByCapacity(self.Zone, append(slices.Clone(zones[self.Zone]), self))
+	position := slices.IndexFunc(order, func(m membership.Member) bool { return m.Name == self.Name })
+	r.ahead, r.behind = order[:position], order[position+1:]
+	selected := slices.Clone(selectGatherers(order))
+	r.gathererCount, r.localPeers = len(selected), len(zones[self.Zone])
+	if !slices.ContainsFunc(selected, func(m membership.Member) bool { return m.Name == self.Name }) {
+		sortByPreference(selected, self.Name)
+		r.gatherers = selected
 	}
 	return r
 }
 
-// farZones is of how many other zones an instance that reads the store listens to one that does too.
-const farZones = 3
+// maxRemoteZones is the number of other zones in which an instance that reads the store subscribes
+// to a reader.
+const maxRemoteZones = 3
 
-// readers draws those members of each zone that read the store. With self the zone of this instance
-// is complete.
-func readers(self membership.Member, zones map[string][]membership.Member) map[string][]membership.Member {
+// storeReaders returns the members of each zone that read the store. zones holds the other members;
+// self is added to its zone.
+func storeReaders(self membership.Member, zones map[string][]membership.Member) map[string][]membership.Member {
 	out := make(map[string][]membership.Member, len(zones)+1)
 	for zone, in := range zones {
 		out[zone] = slices.Clone(in)
@@ -121,90 +125,90 @@
 	out[self.Zone] = append(out[self.Zone], self)
 	for zone, in := range out {
 		if len(in) >= feed.LeastMembers {
-			out[zone] = byRoom(zone, in)[:feed.Readers]
+			out[zone] = sortByCapacity(zone, in)[:feed.Readers]
 		}
 	}
 	return out
 }
 
-// farReaders draws one reader of each of the zones that come next by name; of the readers of a zone
-// each instance prefers another one.
-func farReaders(self membership.Member, readers map[string][]membership.Member, avoided func(membership.Member) bool) []membership.Member {
+// selectRemoteReaders returns one reader of each of the zones that follow this zone by name. The
+// choice within a zone differs between instances.
+func selectRemoteReaders(self membership.Member, readers map[string][]membership.Member, avoided func(membership.Member) bool) []membership.Member {
 	zones := slices.Sorted(maps.Keys(readers))
-	at, _ := slices.BinarySearch(zones, self.Zone)
+	start, _ := slices.BinarySearch(zones, self.Zone)
 	var out []membership.Member
-	for _, zone := range slices.Concat(zones[at:], zones[:at]) {
-		if zone == self.Zone || len(out) == farZones {
+	for _, zone := range slices.Concat(zones[start:], zones[:start]) {
+		if zone == self.Zone || len(out) == maxRemoteZones {
 			continue
 		}
 		in := slices.DeleteFunc(slices.Clone(readers[zone]), avoided)
-		preferred(in, self.Name)
+		sortByPreference(in, self.Name)
 		out = append(out, in[:min(len(in), 1)]...)
 	}
 	return out
 }
 
-// place is the place of an instance among all readers by name.
-func place(self membership.Member, readers map[string][]membership.Member) float64 {
+// readerPosition returns the relative position of an instance by name among all readers.
+func readerPosition(self membership.Member, readers map[string][]membership.Member) float64 {
 	before, all := 0, 0
 	for _, in := range readers {
 		all += len(in)
-		before += count(in, func(m membership.Member) bool { return m.Name < self.Name })
+		before += countMatching(in, func(m membership.Member) bool { return m.Name < self.Name })
 	}
 	return float64(before+1) / float64(max(all, before+1))
 }
 
-// count is how many members a condition holds for.
-func count(members []membership.Member, holds func(membership.Member) bool) int {
+// countMatching returns the number of members for which matches is true.
+func countMatching(members []membership.Member, matches func(membership.Member) bool) int {
 	n := 0
 	for _, m := range members {
-		if holds(m) {
+		if matches(m) {
 			n++
 		}
 	}
 	return n
 }
 
-// byRoom is the order of a zone's members: those with most room first, and among equal ones
-// those that the zone prefers. All its members have the same.
-func byRoom(zone string, members []membership.Member) []membership.Member {
-	preferred(members, zone)
+// sortByCapacity sorts the members of a zone by decreasing capacity, and members of equal capacity
+// by the preference of the zone. All members of the zone compute the same order.
+func sortByCapacity(zone string, members []membership.Member) []membership.Member {
+	sortByPreference(members, zone)
 	slices.SortStableFunc(members, func(a, b membership.Member) int { return cmp.Compare(b.Room, a.Room) })
 	return members
 }
 
-// gatherers draws the gatherers of a zone from the order of its members.
-func gatherers(all []membership.Member) []membership.Member {
+// selectGatherers returns the gatherers among the members of a zone in sortByCapacity order.
+func selectGatherers(all []membership.Member) []membership.Member {
 	total, sum, n := 0.0, 0.0, 0
 	for _, m := range all {
 		total += float64(m.Room)
 	}
-	for n < len(all) && (n < gatherersLeast || sum < gathererShare*total) {
+	for n < len(all) && (n < minGatherers || sum < gathererCapacityShare*total) {
 		sum += float64(all[n].Room)
 		n++
 	}
 	return all[:n]
 }
 
-// preferred sorts members by how much the one that draws prefers them (weighted
-// rendezvous hashing): each draws its own order, a member with twice the room comes first
-// twice as often, and one that goes moves only those that preferred it.
-func preferred(members []membership.Member, drawer string) {
+// sortByPreference sorts members by decreasing preference of chooser with weighted rendezvous
+// hashing. Each chooser has its own order; a member with twice the capacity comes first twice as
+// often; and if a member leaves, only the choosers that preferred it are affected.
+func sortByPreference(members []membership.Member, chooser string) {
 	weights := make(map[string]float64, len(members))
 	for _, m := range members {
-		// A hash in (0, 1], of which the logarithm is taken.
-		hash := (float64(xxhash.Sum64String(drawer+"/"+m.Name)) + 1) / math.Exp2(64)
+		// The hash is in (0, 1], so that its logarithm is defined.
+		hash := (float64(xxhash.Sum64String(chooser+"/"+m.Name)) + 1) / math.Exp2(64)
 		weights[m.Name] = -float64(max(m.Room, 1)) / math.Log(math.Min(hash, 1-1e-12))
 	}
 	slices.SortFunc(members, func(a, b membership.Member) int { return cmp.Compare(weights[b.Name], weights[a.Name]) })
 }
 
-// wanted are the members that are kept connected: those that work for this instance, and
-// those that it listens to.
-func (r *roles) wanted(listening map[string]bool) []membership.Member {
+// connectTargets returns the members to keep connected: those that work for this instance, and the
+// publishers to which it subscribes.
+func (r *roles) connectTargets(subscribed map[string]bool) []membership.Member {
 	out := slices.Clone(r.gatherers)
-	for _, m := range slices.Concat(r.ahead, r.behind, r.far) {
-		if listening[m.Name] {
+	for _, m := range slices.Concat(r.ahead, r.behind, r.remoteReaders) {
+		if subscribed[m.Name] {
 			out = append(out, m)
 		}
 	}
--- a/pkg/peers/roles_test.go
+++ b/pkg/peers/roles_test.go
@@ -12,8 +12,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/membership"
 )
 
-// BenchmarkDrawRoles is what each instance of a fleet does ten times a second.
-func BenchmarkDrawRoles(b *testing.B) {
+// BenchmarkAssignRoles measures what each instance of a fleet does 10 times a second.
+func BenchmarkAssignRoles(b *testing.B) {
 	for _, n := range []int{8, 60, 195} {
 		var all []membership.Member
 		for i := range n {
@@ -21,23 +21,23 @@
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				drawRoles(all[0], all[1:], never)
+				assignRoles(all[0], all[1:], neverAvoided)
 			}
 		})
 		b.Run(fmt.Sprint(n, " unchanged"), func(b *testing.B) {
-			var d roleDrawer
+			var d roleAssigner
 			for range b.N {
-				d.draw(all[0], all[1:], never)
+				d.assign(all[0], all[1:], neverAvoided)
 			}
 		})
 	}
 }
 
-// Guards against: roles that outlive the members, addresses or troubles that they were drawn for.
-func TestRolesAreDrawnAnewWhenSomethingChanges(t *testing.T) {
-	all := append(members("x", 19, 80, 19, 80, 19, 19), members("y", 19, 40, 19)...)
+// Guards against cached roles that remain after members, addresses or avoided peers have changed.
+func TestRolesAreReassignedWhenInputsChange(t *testing.T) {
+	all := append(newMembers("x", 19, 80, 19, 80, 19, 19), newMembers("y", 19, 40, 19)...)
 	rng := rand.New(rand.NewPCG(1, 1))
-	var d roleDrawer
+	var d roleAssigner
 	avoided := map[string]bool{}
 	for range 2000 {
 		m := &all[1+rng.IntN(len(all)-1)]
@@ -54,9 +54,9 @@
 			m.Incarnation++
 		}
 		avoid := func(m membership.Member) bool { return avoided[m.Name] }
-		got, want := d.draw(all[0], all[1:], avoid), drawRoles(all[0], all[1:], avoid)
+		got, want := d.assign(all[0], all[1:], avoid), assignRoles(all[0], all[1:], avoid)
 		for _, r := range []*roles{&got, &want} {
-			for _, list := range append(slices.Collect(maps.Values(r.batchers)), r.gatherers, r.ahead, r.behind, r.far) {
+			for _, list := range append(slices.Collect(maps.Values(r.batchers)), r.gatherers, r.ahead, r.behind, r.remoteReaders) {
 				for i := range list {
 					list[i].Incarnation = 0
 				}
--- a/pkg/peers/server.go
+++ b/pkg/peers/server.go
@@ -16,66 +16,73 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// Codec translates between the messages of one installation and what peers exchange.
+// Codec converts between the messages of an installation and the forms in which peers exchange
+// them.
 type Codec interface {
-	// Request is what a caller's message asks of leafs, and Content its inverse.
+	// Request returns the request to leafs for the message of a caller. Content is its inverse.
 	Request(content gateway.Content) Request
 	Content(r Request) gateway.Content
-	// Key names what a caller's message asks.
+	// Key identifies what the message of a caller asks, for the quarantine.
 	Key(content gateway.Content) quarantine.Key
-	// SplitReply takes a leaf's success apart, and Reply puts one together.
+	// SplitReply splits the successful reply of a leaf into its proof, which identifies the reply
+	// as a leaf's work on one request, and its body. JoinReply is the inverse.
 	SplitReply(reply gateway.LeafReply) (proof string, body []byte)
 	JoinReply(proof string, body []byte) gateway.Content
-	// Merge joins the bodies of several parts into one that gives the same answer.
+	// Merge merges several bodies into one that gives the same answer.
 	Merge(bodies [][]byte, topK int) []byte
 }
 
-// Server works for peers: it sends requests to leafs for those of other zones, and runs
-// queries for those of its own.
+// Server serves peers: it calls leafs for peers in other zones, and runs queries for peers in its
+// own zone.
 type Server struct {
 	listener net.Listener
 	queries  QueryRunner
-	// quarantine knows the requests that end leafs; nil: all are sent.
+	// quarantine holds the requests that make leafs crash; nil disables the check.
 	quarantine *quarantine.Table
-	// feeder is nil where peers are not fed.
-	feeder *feeder
-	table  *replica.Table
-	leafs  gateway.Leafs
-	codec  Codec
-	pool   *ants.Pool
-	log    *oplog.Log
-	// BatchesServed, Calls and Gathered count what was served; active is the work under way.
+	// publisher is nil if this instance publishes no feed.
+	publisher *publisher
+	table     *replica.Table
+	leafs     gateway.Leafs
+	codec     Codec
+	pool      *ants.Pool
+	log       *oplog.Log
+	// BatchesServed, LeafCallsServed and QueriesServed count the work done for peers. inFlight is
+	// the number of batches and queries in progress.
 	BatchesServed, LeafCallsServed, QueriesServed atomic.Int64
-	active                                        atomic.Int64
+	inFlight                                      atomic.Int64
 
-	// connsMost bounds the connections; turned counts those that were closed for it.
-	connsMost int
-	turned    atomic.Int64
+	// maxConns is the maximum number of connections. rejectedConns counts connections that were
+	// closed because of it or of maxAwaitingHello.
+	maxConns      int
+	rejectedConns atomic.Int64
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	// greeting is how many connections have not said yet who calls.
-	greeting int
+	// awaitingHello is the number of connections without a hello frame yet.
+	awaitingHello int
 }
 
-// helloTimeout bounds the first frame of a connection.
+// helloTimeout is how long a new connection may take to send the hello frame.
 const helloTimeout = 2 * time.Second
 
-// NewServer serves on a listener; workers bounds the leaf calls in flight, connsMost the
-// connections. queries may be nil where none are run for peers.
-func NewServer(ln net.Listener, table *replica.Table, leafs gateway.Leafs, queries QueryRunner, codec Codec, workers, connsMost int, log *oplog.Log) (*Server, error) {
+// NewServer returns a server for a listener. workers is the maximum number of concurrent leaf
+// calls, and maxConns of connections. queries is nil if no queries are run for peers.
+func NewServer(ln net.Listener, table *replica.Table, leafs gateway.Leafs, queries QueryRunner, codec Codec, workers, maxConns int, log *oplog.Log) (*Server, error) {
 	pool, err := ants.NewPool(workers, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, err
 	}
-	return &Server{listener: ln, queries: queries, table: table, leafs: leafs, codec: codec, pool: pool, log: log, connsMost: connsMost, conns: make(map[net.Conn]struct{})}, nil
+	return &Server{
+		listener: ln, queries: queries, table: table, leafs: leafs, codec: codec, pool: pool, log: log,
+		maxConns: maxConns, conns: make(map[net.Conn]struct{}),
+	}, nil
 }
 
-// SetQuarantine keeps requests that end leafs from them, also where the caller has not heard of that
-// yet. It is called before Run.
+// SetQuarantine makes the server refuse requests that make leafs crash, even if the requesting peer
+// does not know about them yet. It must be called before Run.
 func (s *Server) SetQuarantine(table *quarantine.Table) { s.quarantine = table }
 
-// Run accepts peers until Close.
+// Run accepts connections until Close is called.
 func (s *Server) Run() {
 	for {
 		conn, err := s.listener.Accept()
@@ -83,53 +90,55 @@
 			return
 		}
 		if err != nil {
-			// Descriptors may be used up for the moment; ending would leave this
-			// zone without a peer for good.
+			// File descriptors may be exhausted temporarily. If Run returned, this zone
+			// would be without a peer permanently.
 			s.log.Decision("peer_accept_failed", oplog.Fields{"error": err.Error()})
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if !s.admit(conn) {
-			_ = conn.Close() // As if it had not been accepted.
+			_ = conn.Close() // Nothing was read from it.
 			continue
 		}
 		go s.serve(conn)
 	}
 }
 
-// greetingMost is how many connections may be open that have not said who calls: those of a
-// fleet's instances that connect at the same moment. They have 2 s for it.
-const greetingMost = 64
+// maxAwaitingHello is the maximum number of open connections that have not sent a hello frame:
+// those of the instances of a fleet that connect at the same moment. They have 2 s for it
+// (helloTimeout).
+const maxAwaitingHello = 64
 
-// admit takes a connection unless there are too many.
+// admit registers a connection and reports whether it is accepted.
 //
-// Whoever reaches the port can open connections and say nothing. Each holds a descriptor; one
-// notices that an instance finds none for its own calls to leafs and for its callers.
+// Anyone who can reach the port can open connections and send nothing. Each holds a file
+// descriptor; without a limit the instance runs out of descriptors for its own leaf calls and for
+// its callers.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.connsMost || s.greeting >= greetingMost {
-		s.turned.Add(1)
-		s.log.Decision("peer_connections_too_many", oplog.Fields{"open": len(s.conns), "without_greeting": s.greeting})
+	if len(s.conns) >= s.maxConns || s.awaitingHello >= maxAwaitingHello {
+		s.rejectedConns.Add(1)
+		s.log.Decision("peer_connections_too_many", oplog.Fields{"open": len(s.conns), "without_greeting": s.awaitingHello})
 		return false
 	}
 	s.conns[conn] = struct{}{}
-	s.greeting++
+	s.awaitingHello++
 	return true
 }
 
-// acceptPause is how long accepting waits after an error.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// drainStep is how often Drain looks whether all batches have ended.
-const drainStep = 10 * time.Millisecond
+// drainPollInterval is how often Drain checks whether all work has ended.
+const drainPollInterval = 10 * time.Millisecond
 
-// Drain waits until no batch and no query is under way, or ctx ends. Peers that have heard that this
+// Drain waits until no batch and no query is in flight, or ctx ends. Peers that know that this
 // instance leaves send no new ones.
 func (s *Server) Drain(ctx context.Context) {
-	ticker := time.NewTicker(drainStep)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for s.active.Load() > 0 {
+	for s.inFlight.Load() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -138,9 +147,9 @@
 	}
 }
 
-// Close ends the listener and the connections.
+// Close closes the listener and the connections.
 func (s *Server) Close() {
-	_ = s.listener.Close() // Nothing is left to be done about an error.
+	_ = s.listener.Close() // The server stops; the error changes nothing.
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
--- a/pkg/peers/serverconn.go
+++ b/pkg/peers/serverconn.go
@@ -13,57 +13,58 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// serverConn is one peer's connection.
+// serverConn is the server side of a connection from one peer.
 type serverConn struct {
 	s     *Server
 	conn  net.Conn
 	peer  hello
-	texts refReader
-	// ctx ends with the connection: what is in flight for a peer that is gone is
-	// ended at the leafs.
+	texts textDecoder
+	// ctx ends with the connection, so that leaf calls for a peer that is gone are cancelled.
 	ctx context.Context
 
 	writeMu sync.Mutex
 	w       *bufio.Writer
 
-	// stopFeeding ends feeding the peer; nil while it is not fed. mu guards it.
-	stopFeeding context.CancelFunc
-	once        sync.Once
-	// beating: the next word that this instance is well is due.
-	beating atomic.Bool
+	// stopPublishing ends the feed to the peer; nil if there is none. mu guards it.
+	stopPublishing context.CancelFunc
+	helloOnce      sync.Once
+	// heartbeatScheduled is true while a timer for the next heartbeat runs.
+	heartbeatScheduled atomic.Bool
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// cancels cancel the open batches and queries, by number.
 	cancels map[uint64]context.CancelFunc
-	// handovers are the queries that were taken, by number.
+	// handovers are the queries that wait for a grant or are running, by number.
 	handovers map[uint64]*handover
 }
 
-// greeted notes that a connection has said who calls, or has ended before.
-func (c *serverConn) greeted() {
-	c.once.Do(func() {
+// helloDone removes the connection from those that await a hello frame. Only the first call has an
+// effect.
+func (c *serverConn) helloDone() {
+	c.helloOnce.Do(func() {
 		c.s.mu.Lock()
 		defer c.s.mu.Unlock()
-		c.s.greeting--
+		c.s.awaitingHello--
 	})
 }
 
-// serve reads batches until the connection ends.
+// serve handles a connection until it is closed.
 func (s *Server) serve(conn net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
-		_ = conn.Close() // It is of no more use.
+		_ = conn.Close() // The connection is not used any more.
 		s.mu.Lock()
 		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
 	c := &serverConn{
 		s: s, conn: conn, ctx: ctx, w: bufio.NewWriter(conn),
-		texts: refReader{texts: make(map[uint16]string)}, cancels: make(map[uint64]context.CancelFunc),
+		texts: textDecoder{texts: make(map[uint16]string)}, cancels: make(map[uint64]context.CancelFunc),
 		handovers: make(map[uint64]*handover),
 	}
 	err := c.read(bufio.NewReader(conn))
-	c.greeted()
+	c.helloDone()
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		s.log.Decision("peer_connection_ended", oplog.Fields{"peer": c.peer.Name, "error": err.Error()})
 	}
@@ -79,20 +80,20 @@
 		return err
 	}
 	if c.peer, err = decode[hello](raw); err != nil || k != kindHello {
-		return errors.Join(errKind, err)
+		return errors.Join(errFrameKind, err)
 	}
-	if c.peer.Version != version {
-		return errVersion
+	if c.peer.Version != protocolVersion {
+		return errProtocolVersion
 	}
-	c.greeted()
+	c.helloDone()
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
-	// Work starts only when all that has come is read: what waited here while this
-	// process stood still may have been cancelled since.
+	// Work starts only after all buffered frames are read: work that was received while this
+	// process was paused may be cancelled by a later frame.
 	var waiting []func()
 	for {
-		start, err := c.frame(r)
+		start, err := c.handleNextFrame(r)
 		if err != nil {
 			return err
 		}
@@ -109,8 +110,9 @@
 	}
 }
 
-// frame takes over one frame and returns the work that it asks for, nil for none.
-func (c *serverConn) frame(r *bufio.Reader) (func(), error) {
+// handleNextFrame reads and handles one frame. It returns the function that runs the requested
+// work, or nil if there is none.
+func (c *serverConn) handleNextFrame(r *bufio.Reader) (func(), error) {
 	k, raw, err := readFrame(r)
 	if err != nil {
 		return nil, err
@@ -121,7 +123,7 @@
 		if err != nil {
 			return nil, err
 		}
-		w, err := c.work(b)
+		w, err := c.newBatchRun(b)
 		if err != nil {
 			return nil, err
 		}
@@ -131,56 +133,56 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.query(q)
-	case kindListen:
-		l, err := decode[listen](raw)
+		return c.prepareQuery(q)
+	case kindSubscribe:
+		l, err := decode[subscribeRequest](raw)
 		if err == nil {
-			c.listen(l)
+			c.handleSubscribe(l)
 		}
 		return nil, err
 	case kindGrant:
 		n, err := decode[numbered](raw)
-		c.grant(n.Number)
+		c.handleGrant(n.Number)
 		return nil, err
 	case kindCancel:
 		n, err := decode[numbered](raw)
 		c.cancel(n.Number)
 		return nil, err
 	}
-	return nil, errKind
+	return nil, errFrameKind
 }
 
-// begin notes a batch or query under way; end ends it.
-func (c *serverConn) begin(number uint64) (ctx context.Context, end context.CancelFunc) {
-	ctx, end = context.WithCancel(c.ctx)
+// register registers a batch or query, and returns its context and the function that cancels it.
+func (c *serverConn) register(number uint64) (ctx context.Context, cancel context.CancelFunc) {
+	ctx, cancel = context.WithCancel(c.ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancels[number] = end
-	return ctx, end
+	c.cancels[number] = cancel
+	return ctx, cancel
 }
 
-// forget is called when a batch or query has ended.
-func (c *serverConn) forget(number uint64) {
+// unregister removes a batch or query that has ended.
+func (c *serverConn) unregister(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.cancels, number)
 	delete(c.handovers, number)
 }
 
-// cancel ends a batch or query whose caller has left.
+// cancel cancels a batch or query whose reply is no longer needed.
 func (c *serverConn) cancel(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if end := c.cancels[number]; end != nil {
-		end()
+	if cancel := c.cancels[number]; cancel != nil {
+		cancel()
 	}
 }
 
-// writeTimeout bounds a write to a peer that does not read.
+// writeTimeout is the timeout for writing a frame to a peer.
 const writeTimeout = 200 * time.Millisecond
 
-// write sends one frame; a peer that does not take it loses its connection.
-func (c *serverConn) write(k kind, f any) error {
+// write sends one frame. The connection is closed if the peer does not receive it in time.
+func (c *serverConn) write(k frameKind, f any) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -188,7 +190,7 @@
 		err = writeFrame(c.w, k, f)
 	}
 	if err != nil {
-		_ = c.conn.Close() // Its reader ends the batches.
+		_ = c.conn.Close() // The reader then cancels the open work.
 	}
 	return err
 }
