--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -184,7 +184,7 @@
 	gauge("node_batches_direct", func() float64 { return float64(n.peering.agent.BatchFallbacks.Load()) })
 	gauge("node_queries_handed", func() float64 { return float64(n.Handed()) })
 	gauge("node_queries_declined", func() float64 { return float64(n.peering.agent.QueriesDeclined.Load()) })
-	gauge("node_queries_taken_late", func() float64 { return float64(n.peering.agent.QueriesTakenLate.Load()) })
+	gauge("node_queries_taken_late", func() float64 { return float64(n.peering.agent.QueriesAcceptedLate.Load()) })
 	gauge("node_queries_gathered", func() float64 { return float64(n.peering.server.QueriesServed.Load()) })
 	gauge("node_peers_silent", func() float64 { return float64(n.peering.agent.PeerTimeouts.Load()) })
 	gauge("node_batches_served", func() float64 { return float64(n.peering.server.BatchesServed.Load()) })
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -87,11 +87,11 @@
 	// QueriesHandedOff counts queries offered to a gatherer, QueriesDeclined those that the
 	// gatherer declined, or whose connection was closed before they were granted.
 	QueriesHandedOff, QueriesDeclined atomic.Int64
-	// QueriesTakenLate counts queries that a peer accepted after this instance had withdrawn
+	// QueriesAcceptedLate counts queries that a peer accepted after this instance had withdrawn
 	// them.
-	QueriesTakenLate atomic.Int64
-	done             chan struct{}
-	close            sync.Once
+	QueriesAcceptedLate atomic.Int64
+	done                chan struct{}
+	close               sync.Once
 }
 
 // New returns the agent of an instance that exchanges membership datagrams on udp.
--- a/pkg/peers/queryclient.go
+++ b/pkg/peers/queryclient.go
@@ -153,7 +153,7 @@
 
 // handleLateAccept records that a peer accepted a query after it was withdrawn.
 func (p *Peers) handleLateAccept(c *clientConn, request string) {
-	p.QueriesTakenLate.Add(1)
+	p.QueriesAcceptedLate.Add(1)
 	p.log.Decision("query_taken_late", oplog.Fields{"request": request, "peer": c.peer.Name})
 }
 
