--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,9 +1,9 @@
-// Package membership knows which other instances of a deployment are alive and in which
-// availability zone. It is a SWIM-style failure detector with gossip: each instance
-// pings one other a period, asks others to ping it when it does not answer, and passes
-// on what it heard on the messages that it sends anyway. Nothing is written to a shared
-// store and nobody leads. The package does no I/O; time is an argument, so that
-// schedules of joins, freezes, cuts and losses can be replayed.
+// Package membership tracks which other instances of a deployment are alive and in which
+// availability zone they run. It implements a SWIM-style failure detector with gossip: in each
+// probe interval an instance pings one other member, asks other members to ping it when it does
+// not answer, and piggybacks what it has heard on the messages that it sends anyway. Nothing is
+// written to a shared store and there is no leader. The package does no I/O and takes the time as
+// an argument, so that schedules of joins, freezes, partitions and losses can be replayed.
 package membership
 
 import (
@@ -16,21 +16,21 @@
 	"golang.org/x/time/rate"
 )
 
-// Status is what is believed of a member.
+// Status is the state that this instance believes a member to be in.
 type Status uint8
 
 const (
-	// Alive: it answers, or others say so.
+	// Alive means that the member answers, or that other members report that it does.
 	Alive Status = iota
-	// Suspect: it did not answer a ping, neither directly nor through others.
+	// Suspect means that it answered neither a direct nor an indirect ping.
 	Suspect
-	// Dead: suspected for too long without an objection.
+	// Dead means that it was suspected until the suspicion timeout without refuting it.
 	Dead
-	// Left: it said so itself.
+	// Left means that the member announced its own departure.
 	Left
 )
 
-// String names the status in logs.
+// String returns the name of the status as it appears in logs.
 func (s Status) String() string {
 	if int(s) >= len(statusNames) {
 		return "unknown"
@@ -40,47 +40,49 @@
 
 var statusNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// Member is one instance.
+// Member describes one instance of the deployment.
 //
-// Fields are numbered, so that an instance of another version reads those that it knows.
+// Fields are encoded by number, so that an instance of another version can read those that it
+// knows.
 type Member struct {
 	Name string `cbor:"1,keyasint"`
-	// Addr is where its peers reach it (host:port).
+	// Addr is the address at which its peers reach it (host:port).
 	Addr string `cbor:"2,keyasint"`
 	Zone string `cbor:"3,keyasint"`
-	// Incarnation grows each time the member objects to what is said of it. Of two
-	// statements the one with the higher incarnation holds.
+	// Incarnation is raised by the member each time it refutes a statement about itself. Of two
+	// statements about a member, the one with the higher incarnation wins.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
 	Status      Status `cbor:"5,keyasint,omitempty"`
 	// Capacity is how much work the member can take, in hundredths of a processor.
 	Capacity uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// Usable reports whether work may be given to the member.
+// Usable reports whether work may be assigned to the member.
 func (m Member) Usable() bool { return m.Status == Alive }
 
-// Options are the figures of the protocol.
+// Options are the parameters of the protocol.
 type Options struct {
-	// ProbeInterval is the period of pings; ProbeTimeout how long a direct answer may
-	// take before others are asked.
+	// ProbeInterval is the time between pings. ProbeTimeout is how long a direct answer may take
+	// before other members are asked to ping.
 	ProbeInterval time.Duration
 	ProbeTimeout  time.Duration
-	// IndirectProbes is how many others are asked to ping a member that does not answer.
+	// IndirectProbes is how many other members are asked to ping one that does not answer.
 	IndirectProbes int
-	// SuspicionTimeout is how long a member may object before it counts as dead, with ten
-	// members; it grows with the logarithm of their number, as news takes longer.
+	// SuspicionTimeout is how long a suspect has to refute before it counts as dead, in a fleet
+	// of 10. It grows with the logarithm of the fleet's size, because gossip takes longer.
 	SuspicionTimeout time.Duration
-	// JoinInterval is how often a seed, or a member believed dead, is asked for its
-	// list, so that parts that were cut off from each other find together again.
+	// JoinInterval is how often a seed, or a member believed dead, is contacted, so that the two
+	// sides of a partition find each other again.
 	JoinInterval time.Duration
-	// DeadRetention is how long a dead member is remembered.
+	// DeadRetention is how long a member that is dead or has left is remembered.
 	DeadRetention time.Duration
-	// MaxUpdates is how many news items go on one message, and Page how many members on
-	// one reply to a join: a datagram stays below 1,200 bytes.
+	// MaxUpdates is the maximum number of updates piggybacked on one message. PageSize is the
+	// maximum number of members in one datagram that answers a join. With the defaults a datagram
+	// stays below 1,200 bytes.
 	MaxUpdates, PageSize int
 }
 
-// DefaultOptions are the figures used where nothing else is set. What a member sends in a second does
+// DefaultOptions returns the default parameters. With them, the bandwidth that a member uses does
 // not grow with the number of members.
 func DefaultOptions() Options {
 	return Options{
@@ -90,20 +92,20 @@
 	}
 }
 
-// member is the row of one other instance.
+// member is this instance's record of another one.
 type member struct {
 	Member
-	// since is when its status was taken over.
-	since time.Time
+	// statusSince is when the current status was adopted.
+	statusSince time.Time
 }
 
-// news is a statement that is still being passed on.
-type news struct {
+// queuedUpdate is a statement about a member that is still being gossiped.
+type queuedUpdate struct {
 	member Member
-	sent   int
+	sends  int
 }
 
-// probe is a ping that waits for its answer.
+// probe is a ping that has not been answered yet.
 type probe struct {
 	target   string
 	seq      uint64
@@ -111,7 +113,7 @@
 	indirect bool
 }
 
-// State is one instance's view. It is not safe for concurrent use.
+// State is one instance's view of the membership. It is not safe for concurrent use.
 type State struct {
 	opts  Options
 	self  Member
@@ -119,44 +121,45 @@
 	rng   *rand.Rand
 
 	members map[string]*member
-	// order is the round of pings that is under way, newest members anywhere in it.
-	order   []string
-	news    []news
-	probe   *probe
-	seq     uint64
-	helping map[uint64]helped
-
-	startedAt, probedAt, joinedAt, tickedAt time.Time
-	// expected is how many members the largest list that was heard of has, and cursor
-	// where the list that is being read goes on.
-	expected int
-	cursor   string
-	leaving  bool
-	changes  []Member
-	// newcomers bounds how many members are taken in.
-	newcomers *rate.Limiter
+	// probeOrder lists the members still to be pinged in the current round, the next one last.
+	// New members are inserted at a random position.
+	probeOrder    []string
+	gossip        []queuedUpdate
+	probe         *probe
+	seq           uint64
+	relayedProbes map[uint64]relayedProbe
+
+	startedAt, lastProbeAt, lastJoinAt, lastTickAt time.Time
+	// largestCount is the largest number of members that a peer has claimed since the last join.
+	// listCursor is the name after which the list of members being read continues.
+	largestCount int
+	listCursor   string
+	leaving      bool
+	changes      []Member
+	// newMemberLimiter limits the rate at which new members are added.
+	newMemberLimiter *rate.Limiter
 }
 
-// helped is a ping sent for another member.
-type helped struct {
+// relayedProbe is a ping sent on behalf of another member.
+type relayedProbe struct {
 	origin string
 	seq    uint64
-	at     time.Time
+	sentAt time.Time
 }
 
-// New returns the view of an instance that knows only its seeds, which may be stale.
+// New returns the view of an instance that knows only its seeds, some of which may be outdated.
 func New(self Member, seeds []string, opts Options, rng *rand.Rand, now time.Time) *State {
 	s := &State{
 		opts: opts, self: self, seeds: seeds, rng: rng,
-		members: make(map[string]*member), helping: make(map[uint64]helped),
-		newcomers: rate.NewLimiter(newPerSecond, newAtOnce),
+		members: make(map[string]*member), relayedProbes: make(map[uint64]relayedProbe),
+		newMemberLimiter: rate.NewLimiter(maxNewPerSecond, maxNewBurst),
 	}
-	s.startedAt, s.probedAt, s.tickedAt = now, now, now
-	s.spread(s.self)
+	s.startedAt, s.lastProbeAt, s.lastTickAt = now, now, now
+	s.enqueue(s.self)
 	return s
 }
 
-// Members lists the other instances that are known, by name.
+// Members returns the other known instances, sorted by name.
 func (s *State) Members() []Member {
 	out := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
@@ -166,13 +169,13 @@
 	return out
 }
 
-// UsableIn lists the members of a zone that work may be given to, by name: what is drawn from
-// them is the same each time that a schedule is replayed.
+// UsableIn returns the usable members of a zone, sorted by name, so that random draws from them
+// are the same each time a schedule is replayed.
 func (s *State) UsableIn(zone string) []Member {
 	return slices.DeleteFunc(s.Members(), func(m Member) bool { return m.Zone != zone || !m.Usable() })
 }
 
-// Self is this instance as it describes itself.
+// Self returns this instance's own description of itself.
 func (s *State) Self() Member { return s.self }
 
 // Changes returns the members whose status changed since the last call.
@@ -182,71 +185,72 @@
 	return out
 }
 
-// leaveTold is how many members a leaving one tells itself; the others hear of it from those.
-const leaveTold = 64
+// leaveFanout is the maximum number of members that a leaving instance notifies directly. Gossip
+// reaches the others.
+const leaveFanout = 64
 
-// Leave makes this instance say that it leaves.
+// Leave announces that this instance is leaving and returns the messages to send.
 func (s *State) Leave(now time.Time) []Envelope {
 	s.leaving = true
 	s.self.Status = Left
 	s.self.Incarnation++
-	s.spread(s.self)
+	s.enqueue(s.self)
 	var out []Envelope
-	for _, m := range s.pick(leaveTold, "", Alive, Suspect) {
-		out = append(out, s.envelope(m.Addr, Message{Kind: Ping, Seq: s.next()}))
+	for _, m := range s.pickRandom(leaveFanout, "", Alive, Suspect) {
+		out = append(out, s.envelope(m.Addr, Message{Kind: Ping, Seq: s.nextSeq()}))
 	}
 	return out
 }
 
-// take takes over a statement about a member. It reports whether it was new.
-func (s *State) take(m Member, now time.Time) bool {
+// apply adopts a statement about a member and reports whether it was new.
+func (s *State) apply(m Member, now time.Time) bool {
 	if m.Name == "" || m.Status > Left {
 		return false
 	}
 	if m.Name == s.self.Name {
-		s.object(m)
+		s.refute(m)
 		return false
 	}
-	have := s.members[m.Name]
-	if have != nil && !supersedes(m, have.Member) {
+	known := s.members[m.Name]
+	if known != nil && !supersedes(m, known.Member) {
 		return false
 	}
-	if have == nil && (m.Status != Alive || !s.roomFor(now)) {
-		return false // Never met, and not to be met.
+	if known == nil && (m.Status != Alive || !s.mayAddMember(now)) {
+		return false // Members that are not yet known are added only when alive and within the limits.
 	}
-	if have == nil {
-		have = &member{}
-		s.members[m.Name] = have
-		s.order = slices.Insert(s.order, s.rng.IntN(len(s.order)+1), m.Name)
+	if known == nil {
+		known = &member{}
+		s.members[m.Name] = known
+		s.probeOrder = slices.Insert(s.probeOrder, s.rng.IntN(len(s.probeOrder)+1), m.Name)
 	}
-	changed := have.Member.Name == "" || have.Status != m.Status
-	have.Member = m
+	changed := known.Member.Name == "" || known.Status != m.Status
+	known.Member = m
 	if changed {
-		have.since = now
+		known.statusSince = now
 		s.changes = append(s.changes, m)
 	}
-	s.spread(m)
+	s.enqueue(m)
 	return true
 }
 
 const (
-	// membersMost bounds the list: three times the largest fleet that is planned for.
-	membersMost = 4096
-	// newPerSecond and newAtOnce bound how fast it grows: a fleet of 1,200 is known within
-	// some seconds.
-	newPerSecond = 400
-	newAtOnce    = 800
+	// maxMembers bounds the list: 3 times the largest planned fleet.
+	maxMembers = 4096
+	// maxNewPerSecond and maxNewBurst limit how fast the list grows. A fleet of 1,200 is known
+	// within a few seconds.
+	maxNewPerSecond = 400
+	maxNewBurst     = 800
 )
 
-// roomFor reports whether one more member may be taken in.
+// mayAddMember reports whether one more member may be added.
 //
-// One sender can name any number of members that do not exist. Without a bound the list takes
-// the instance's memory, and looking after it its processor.
-func (s *State) roomFor(now time.Time) bool {
-	return len(s.members) < membersMost && s.newcomers.AllowN(now, 1)
+// One sender can name any number of members that do not exist. Without a bound the list would
+// exhaust the instance's memory, and maintaining it would use up its processor.
+func (s *State) mayAddMember(now time.Time) bool {
+	return len(s.members) < maxMembers && s.newMemberLimiter.AllowN(now, 1)
 }
 
-// supersedes reports whether statement a holds against b.
+// supersedes reports whether statement a takes precedence over statement b.
 func supersedes(a, b Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -254,63 +258,63 @@
 	return a.Status > b.Status
 }
 
-// object answers a wrong statement about this instance with a higher incarnation.
+// refute answers a wrong statement about this instance with a higher incarnation.
 //
-// A process that was frozen, or starts again under its name, finds itself believed
-// dead, by statements newer than its own. Without an objection it is never used again;
-// one notices an instance that serves its callers but that no peer talks to.
-func (s *State) object(m Member) {
+// A process that was frozen, or that restarts under its old name, is believed dead by its peers,
+// by statements newer than its own. Without a refutation it is never used again: it serves its
+// callers, but no peer talks to it.
+func (s *State) refute(m Member) {
 	if m.Incarnation < s.self.Incarnation || (m.Incarnation == s.self.Incarnation && m.Status == s.self.Status) {
 		return
 	}
 	s.self.Incarnation = m.Incarnation + 1
-	s.spread(s.self)
+	s.enqueue(s.self)
 }
 
-// retransmits is how often news is passed on for each doubling of the members: so often
-// that all hear of it with high probability, each from somebody.
-const retransmits = 3
+// retransmitFactor is how often an update is gossiped per doubling of the number of members. At
+// this rate it reaches all members with high probability.
+const retransmitFactor = 3
 
-// spread puts a statement among the news, in the place of an older one.
-func (s *State) spread(m Member) {
-	s.news = slices.DeleteFunc(s.news, func(n news) bool { return n.member.Name == m.Name })
-	s.news = append(s.news, news{member: m})
+// enqueue queues a statement for gossip, replacing an older one about the same member.
+func (s *State) enqueue(m Member) {
+	s.gossip = slices.DeleteFunc(s.gossip, func(u queuedUpdate) bool { return u.member.Name == m.Name })
+	s.gossip = append(s.gossip, queuedUpdate{member: m})
 }
 
-// updates are the news that go on the next message: those least often sent.
-func (s *State) updates() []Member {
-	slices.SortStableFunc(s.news, func(a, b news) int { return cmp.Compare(a.sent, b.sent) })
-	n := min(len(s.news), s.opts.MaxUpdates)
+// nextUpdates returns the updates for the next message: those sent least often so far.
+func (s *State) nextUpdates() []Member {
+	slices.SortStableFunc(s.gossip, func(a, b queuedUpdate) int { return cmp.Compare(a.sends, b.sends) })
+	n := min(len(s.gossip), s.opts.MaxUpdates)
 	out := make([]Member, 0, n)
 	for i := range n {
-		out = append(out, s.news[i].member)
-		s.news[i].sent++
+		out = append(out, s.gossip[i].member)
+		s.gossip[i].sends++
 	}
-	limit := retransmits * s.doublings()
-	s.news = slices.DeleteFunc(s.news, func(n news) bool { return n.sent >= limit })
+	limit := retransmitFactor * s.log2Members()
+	s.gossip = slices.DeleteFunc(s.gossip, func(u queuedUpdate) bool { return u.sends >= limit })
 	return out
 }
 
-// doublings is the logarithm of the number of members.
-func (s *State) doublings() int {
+// log2Members returns the logarithm of the number of members, rounded up.
+func (s *State) log2Members() int {
 	return int(math.Ceil(math.Log2(float64(len(s.members) + 2))))
 }
 
-// pick draws up to n members with one of the given statuses, leaving one out.
-func (s *State) pick(n int, except string, statuses ...Status) []Member {
-	var fit []Member
+// pickRandom draws up to n members with one of the given statuses, excluding one by name.
+func (s *State) pickRandom(n int, excluded string, statuses ...Status) []Member {
+	var matches []Member
 	for _, m := range s.members {
-		if m.Name != except && slices.Contains(statuses, m.Status) {
-			fit = append(fit, m.Member)
+		if m.Name != excluded && slices.Contains(statuses, m.Status) {
+			matches = append(matches, m.Member)
 		}
 	}
-	slices.SortFunc(fit, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	s.rng.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
-	return fit[:min(n, len(fit))]
+	slices.SortFunc(matches, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	s.rng.Shuffle(len(matches), func(i, j int) { matches[i], matches[j] = matches[j], matches[i] })
+	return matches[:min(n, len(matches))]
 }
 
-// next numbers a message.
-func (s *State) next() uint64 {
+// nextSeq returns the next sequence number for messages.
+func (s *State) nextSeq() uint64 {
 	s.seq++
 	return s.seq
 }
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -4,52 +4,54 @@
 	"time"
 )
 
-// forgive drops the ping under way after a pause of this process.
+// resetAfterPause drops the outstanding ping after a pause of this process, and restarts the
+// timeouts of suspected members.
 //
-// A process that stood still finds its ping unanswered for seconds. Taken at face
-// value it would suspect a member that is well, each time it wakes.
-func (s *State) forgive(now time.Time) {
-	if now.Sub(s.tickedAt) > s.opts.ProbeTimeout {
+// A process that was paused finds its ping unanswered for seconds. Without the reset it would
+// suspect a healthy member each time it resumes.
+func (s *State) resetAfterPause(now time.Time) {
+	if now.Sub(s.lastTickAt) > s.opts.ProbeTimeout {
 		s.probe = nil
 		for _, m := range s.members {
 			if m.Status == Suspect {
-				m.since = now
+				m.statusSince = now
 			}
 		}
 	}
-	s.tickedAt = now
+	s.lastTickAt = now
 }
 
 // startProbe pings the next member of the round.
 func (s *State) startProbe(now time.Time) []Envelope {
-	s.probedAt = now
+	s.lastProbeAt = now
 	target := s.nextTarget()
 	if target == nil {
 		return nil
 	}
-	s.probe = &probe{target: target.Name, seq: s.next(), sentAt: now}
+	s.probe = &probe{target: target.Name, seq: s.nextSeq(), sentAt: now}
 	return []Envelope{s.envelope(target.Addr, Message{Kind: Ping, Seq: s.probe.seq})}
 }
 
-// nextTarget is the next member in use, in a shuffled round: each is pinged once a
-// round, so that no dead one is missed for long.
+// nextTarget returns the next active member in a shuffled round. Each member is pinged once per
+// round, which bounds how long a dead one stays undetected.
 func (s *State) nextTarget() *member {
 	for range 2 {
-		for len(s.order) > 0 {
-			name := s.order[len(s.order)-1]
-			s.order = s.order[:len(s.order)-1]
+		for len(s.probeOrder) > 0 {
+			name := s.probeOrder[len(s.probeOrder)-1]
+			s.probeOrder = s.probeOrder[:len(s.probeOrder)-1]
 			if m := s.members[name]; m != nil && (m.Status == Alive || m.Status == Suspect) {
 				return m
 			}
 		}
-		for _, m := range s.pick(len(s.members), "", Alive, Suspect) {
-			s.order = append(s.order, m.Name)
+		for _, m := range s.pickRandom(len(s.members), "", Alive, Suspect) {
+			s.probeOrder = append(s.probeOrder, m.Name)
 		}
 	}
 	return nil
 }
 
-// checkProbe asks others, and then suspects, a member that does not answer.
+// checkProbe first requests indirect pings for a member that does not answer, and then suspects
+// it.
 func (s *State) checkProbe(now time.Time) []Envelope {
 	if s.probe == nil {
 		return nil
@@ -64,12 +66,12 @@
 		if target.Status == Alive {
 			m := target.Member
 			m.Status = Suspect
-			s.take(m, now)
+			s.apply(m, now)
 		}
 	case waited >= s.opts.ProbeTimeout && !s.probe.indirect:
 		s.probe.indirect = true
 		var out []Envelope
-		for _, helper := range s.pick(s.opts.IndirectProbes, target.Name, Alive) {
+		for _, helper := range s.pickRandom(s.opts.IndirectProbes, target.Name, Alive) {
 			out = append(out, s.envelope(helper.Addr, Message{Kind: PingReq, Seq: s.probe.seq, Target: target.Addr}))
 		}
 		return out
@@ -77,23 +79,24 @@
 	return nil
 }
 
-// age turns suspects into dead members, and forgets those that are gone for long.
-func (s *State) age(now time.Time) {
-	wait := s.opts.SuspicionTimeout * time.Duration(max(s.doublings(), 3)) / 3
+// expireMembers declares suspects dead after the suspicion timeout, and forgets members that have
+// been dead or gone for DeadRetention.
+func (s *State) expireMembers(now time.Time) {
+	timeout := s.opts.SuspicionTimeout * time.Duration(max(s.log2Members(), 3)) / 3
 	for name, m := range s.members {
-		gone := now.Sub(m.since)
+		elapsed := now.Sub(m.statusSince)
 		switch {
-		case m.Status == Suspect && gone >= wait:
+		case m.Status == Suspect && elapsed >= timeout:
 			dead := m.Member
 			dead.Status = Dead
-			s.take(dead, now)
-		case (m.Status == Dead || m.Status == Left) && gone >= s.opts.DeadRetention:
+			s.apply(dead, now)
+		case (m.Status == Dead || m.Status == Left) && elapsed >= s.opts.DeadRetention:
 			delete(s.members, name)
 		}
 	}
-	for seq, h := range s.helping {
-		if now.Sub(h.at) > 2*s.opts.ProbeInterval {
-			delete(s.helping, seq)
+	for seq, h := range s.relayedProbes {
+		if now.Sub(h.sentAt) > 2*s.opts.ProbeInterval {
+			delete(s.relayedProbes, seq)
 		}
 	}
 }
--- a/pkg/membership/protocol.go
+++ b/pkg/membership/protocol.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind is what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
@@ -13,51 +13,52 @@
 	Ping Kind = iota
 	// Ack answers a Ping.
 	Ack
-	// PingReq asks the receiver to ping Target for the sender.
+	// PingReq asks the receiver to ping Target on behalf of the sender.
 	PingReq
 	// Join asks for the members that the receiver knows.
 	Join
-	// MemberList answers a Join with a part of them.
+	// MemberList answers a Join with a part of these members.
 	MemberList
-	// Gossip asks for nothing: it brings what comes with it.
+	// Gossip expects no answer; it only carries updates and attachments.
 	Gossip
 )
 
-// Message is what instances send each other.
+// Message is one datagram of the protocol.
 type Message struct {
 	Kind Kind   `cbor:"1,keyasint,omitempty"`
 	Seq  uint64 `cbor:"2,keyasint,omitempty"`
 	From Member `cbor:"3,keyasint"`
-	// Target is the address to be pinged for the sender (PingFor).
+	// Target is the address to be pinged on behalf of the sender (PingReq).
 	Target string `cbor:"4,keyasint,omitempty"`
-	// MemberCount is how many members the sender knows, itself included.
+	// MemberCount is how many active members the sender knows, including itself.
 	MemberCount int `cbor:"5,keyasint,omitempty"`
-	// Updates is news, or a part of a list.
+	// Updates are gossiped statements, or a part of a member list.
 	Updates []Member `cbor:"6,keyasint,omitempty"`
-	// After is the name after which a list is to go on (Join), or goes on (List); "" at
-	// its start and after its end.
+	// After is a member name: in a Join, the name after which the list is to continue; in a
+	// MemberList, the name after which the next part starts. It is empty at the start and at the
+	// end of the list.
 	After string `cbor:"7,keyasint,omitempty"`
-	// KnownInZone is how many members of its own zone the sender of a Join knows.
+	// KnownInZone is how many usable members of its own zone the sender of a Join knows.
 	KnownInZone int `cbor:"8,keyasint,omitempty"`
 }
 
-// Envelope is a message on its way to an address.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	To      string
 	Message Message
 }
 
-// envelope completes a message.
+// envelope addresses a message and fills in the sender, the member count and the updates.
 func (s *State) envelope(to string, m Message) Envelope {
 	m.From = s.self
-	m.MemberCount = s.alive() + 1
+	m.MemberCount = s.activeCount() + 1
 	if m.Kind != MemberList {
-		m.Updates = s.updates()
+		m.Updates = s.nextUpdates()
 	}
 	return Envelope{To: to, Message: m}
 }
 
-// GossipToAll are messages to all other members that are in use, for what is sent with them.
+// GossipToAll returns a Gossip message to every usable member. The caller attaches the content.
 func (s *State) GossipToAll() []Envelope {
 	var out []Envelope
 	for _, m := range s.Members() {
@@ -68,8 +69,8 @@
 	return out
 }
 
-// alive is how many other members are in use.
-func (s *State) alive() int {
+// activeCount returns how many other members are alive or suspected.
+func (s *State) activeCount() int {
 	n := 0
 	for _, m := range s.members {
 		if m.Status == Alive || m.Status == Suspect {
@@ -79,141 +80,143 @@
 	return n
 }
 
-// Receive takes over a message and returns what to send.
+// Receive processes a message and returns the messages to send in response.
 func (s *State) Receive(m Message, now time.Time) []Envelope {
-	s.take(m.From, now)
-	s.contradict(m.From)
+	s.apply(m.From, now)
+	s.promptRefutation(m.From)
 	for _, u := range m.Updates {
-		s.take(u, now)
+		s.apply(u, now)
 	}
-	s.expected = max(s.expected, m.MemberCount)
+	s.largestCount = max(s.largestCount, m.MemberCount)
 	switch m.Kind {
 	case Ping:
 		return []Envelope{s.envelope(m.From.Addr, Message{Kind: Ack, Seq: m.Seq})}
 	case Ack:
-		return s.acked(m, now)
+		return s.handleAck(m, now)
 	case PingReq:
-		seq := s.next()
-		s.helping[seq] = helped{origin: m.From.Addr, seq: m.Seq, at: now}
+		seq := s.nextSeq()
+		s.relayedProbes[seq] = relayedProbe{origin: m.From.Addr, seq: m.Seq, sentAt: now}
 		return []Envelope{s.envelope(m.Target, Message{Kind: Ping, Seq: seq})}
 	case Join:
-		return s.list(m.From, m.After, m.KnownInZone)
+		return s.memberList(m.From, m.After, m.KnownInZone)
 	case MemberList:
 		if m.After != "" || len(m.Updates) > 0 {
-			s.cursor = m.After
+			s.listCursor = m.After
 		}
 	}
 	return nil
 }
 
-// contradict tells a member that is heard from, but believed gone, what is believed of
-// it, so that it objects. The news of its death may have been passed on for the last
-// time while it was cut off.
-func (s *State) contradict(from Member) {
-	have := s.members[from.Name]
-	if have != nil && have.Status != Alive && from.Status == Alive {
-		s.spread(have.Member)
+// promptRefutation queues what is believed of a member that sends messages although it is
+// believed gone, so that it hears of it and refutes it. The gossip of its death may have ended
+// while the member was partitioned off.
+func (s *State) promptRefutation(from Member) {
+	known := s.members[from.Name]
+	if known != nil && known.Status != Alive && from.Status == Alive {
+		s.enqueue(known.Member)
 	}
 }
 
-// acked takes over an answer to a ping, of this instance or of one that it helps.
-func (s *State) acked(m Message, now time.Time) []Envelope {
+// handleAck processes the answer to a ping sent by this instance or relayed for another one.
+func (s *State) handleAck(m Message, now time.Time) []Envelope {
 	if s.probe != nil && s.probe.seq == m.Seq {
 		s.probe = nil
 		return nil
 	}
-	if h, ok := s.helping[m.Seq]; ok {
-		delete(s.helping, m.Seq)
+	if h, ok := s.relayedProbes[m.Seq]; ok {
+		delete(s.relayedProbes, m.Seq)
 		return []Envelope{s.envelope(h.origin, Message{Kind: Ack, Seq: h.seq})}
 	}
 	return nil
 }
 
-// listPages bounds the datagrams that answer one join with members of other zones than
-// the joiner's.
-const listPages = 4
+// maxListPages is the maximum number of datagrams, in answer to one join, that hold members of
+// zones other than the joiner's.
+const maxListPages = 4
 
-// list sends the members of the joiner's zone, if it knows fewer, and a part of the others
-// by name.
+// memberList returns the members of the joiner's zone, if the joiner knows fewer, and the next
+// part of the other members, ordered by name.
 //
-// An instance needs those of its own zone first: they run its queries. Parts drawn at
-// random show the last members of a large fleet late.
-func (s *State) list(to Member, after string, knows int) []Envelope {
-	var near, far []Member
+// An instance needs the members of its own zone first, because they run its queries. If the parts
+// were drawn at random, the last members of a large fleet would be learned late.
+func (s *State) memberList(to Member, after string, knownInZone int) []Envelope {
+	var sameZone, otherZones []Member
 	for _, m := range s.Members() {
 		switch {
 		case m.Name == to.Name || (m.Status != Alive && m.Status != Suspect):
 		case m.Zone == to.Zone:
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		case m.Name > after:
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		}
 	}
-	next := ""
-	if most := listPages * s.opts.PageSize; len(far) > most {
-		far = far[:most]
-		next = far[most-1].Name
+	nextCursor := ""
+	if limit := maxListPages * s.opts.PageSize; len(otherZones) > limit {
+		otherZones = otherZones[:limit]
+		nextCursor = otherZones[limit-1].Name
 	}
-	if len(near) <= knows {
-		near = nil
+	if len(sameZone) <= knownInZone {
+		sameZone = nil
 	}
-	out := []Envelope{s.envelope(to.Addr, Message{Kind: MemberList, Updates: s.updates()})}
-	for page := range slices.Chunk(append(near, far...), s.opts.PageSize) {
-		out = append(out, s.envelope(to.Addr, Message{Kind: MemberList, Updates: page, After: next}))
+	out := []Envelope{s.envelope(to.Addr, Message{Kind: MemberList, Updates: s.nextUpdates()})}
+	for page := range slices.Chunk(append(sameZone, otherZones...), s.opts.PageSize) {
+		out = append(out, s.envelope(to.Addr, Message{Kind: MemberList, Updates: page, After: nextCursor}))
 	}
 	return out
 }
 
-// Tick runs the timers and returns what to send. It is called every 100 ms or so.
+// Tick runs the timers and returns the messages to send. It is called about every 100 ms.
 func (s *State) Tick(now time.Time) []Envelope {
-	s.forgive(now)
+	s.resetAfterPause(now)
 	out := s.join(now)
 	out = append(out, s.checkProbe(now)...)
-	s.age(now)
-	if s.leaving || now.Sub(s.probedAt) < s.opts.ProbeInterval {
+	s.expireMembers(now)
+	if s.leaving || now.Sub(s.lastProbeAt) < s.opts.ProbeInterval {
 		return out
 	}
 	return append(out, s.startProbe(now)...)
 }
 
 const (
-	// joinFast is how often an instance that knows fewer members than others asks again.
-	joinFast = 200 * time.Millisecond
-	// joinSettle is for how long after its start an instance asks that often in any case:
-	// of a fleet that starts at once the first answers know few.
-	joinSettle = 1500 * time.Millisecond
+	// fastJoinInterval is the time between joins while an instance knows fewer members than
+	// others do.
+	fastJoinInterval = 200 * time.Millisecond
+	// startupJoinPeriod is how long after its start an instance uses fastJoinInterval in any
+	// case: when a whole fleet starts at once, the first answers list few members.
+	startupJoinPeriod = 1500 * time.Millisecond
 )
 
-// join looks for members that this instance does not know: it asks one for its list as
-// long as others know more, and greets a seed or a member believed dead now and then, so
-// that parts that were cut off from each other find together again.
+// join looks for unknown members. It requests lists as long as other instances know more members;
+// otherwise it occasionally pings a seed or a member believed dead, so that the two sides of a
+// partition find each other again.
 func (s *State) join(now time.Time) []Envelope {
-	short := s.alive() == 0 || s.alive()+1 < s.expected || now.Sub(s.startedAt) < joinSettle
-	every := s.opts.JoinInterval
-	if short {
-		every = joinFast
+	incomplete := s.activeCount() == 0 || s.activeCount()+1 < s.largestCount ||
+		now.Sub(s.startedAt) < startupJoinPeriod
+	interval := s.opts.JoinInterval
+	if incomplete {
+		interval = fastJoinInterval
 	}
-	if s.leaving || (!s.joinedAt.IsZero() && now.Sub(s.joinedAt) < every) {
+	if s.leaving || (!s.lastJoinAt.IsZero() && now.Sub(s.lastJoinAt) < interval) {
 		return nil
 	}
-	s.joinedAt = now
-	s.expected = 0
-	if s.alive() == 0 {
-		return s.greet(s.seedAddrs(), Join)
+	s.lastJoinAt = now
+	s.largestCount = 0
+	if s.activeCount() == 0 {
+		return s.messagesTo(s.seedAddrs(), Join)
 	}
-	if short {
-		return s.greet(s.contact(true), Join)
+	if incomplete {
+		return s.messagesTo(s.pickContact(true), Join)
 	}
-	return s.greet(s.contact(false), Ping)
+	return s.messagesTo(s.pickContact(false), Ping)
 }
 
-// greet sends a message of a kind to some addresses.
-func (s *State) greet(addrs []string, kind Kind) []Envelope {
+// messagesTo returns a message of the given kind for each address.
+func (s *State) messagesTo(addrs []string, kind Kind) []Envelope {
 	out := make([]Envelope, 0, len(addrs))
 	for _, to := range addrs {
-		m := Message{Kind: kind, Seq: s.next()}
+		m := Message{Kind: kind, Seq: s.nextSeq()}
 		if kind == Join {
-			m.After = s.cursor
+			m.After = s.listCursor
 			m.KnownInZone = len(s.UsableIn(s.self.Zone))
 		}
 		out = append(out, s.envelope(to, m))
@@ -221,24 +224,24 @@
 	return out
 }
 
-// seedAddrs are the seeds but this instance itself.
+// seedAddrs returns the addresses of the seeds, except this instance's own.
 func (s *State) seedAddrs() []string {
 	return slices.DeleteFunc(slices.Clone(s.seeds), func(addr string) bool { return addr == s.self.Addr })
 }
 
-// contact draws whom to ask: a seed or a member that is believed dead; for a list
-// rather a member in use, so that the seeds are not asked by all.
-func (s *State) contact(list bool) []string {
-	if near := s.UsableIn(s.self.Zone); list && len(near) > 0 && s.rng.IntN(2) > 0 {
-		return []string{near[s.rng.IntN(len(near))].Addr}
+// pickContact draws the address to contact: a seed or a member believed dead. For a list it
+// prefers an active member, so that not all instances ask the seeds.
+func (s *State) pickContact(forList bool) []string {
+	if sameZone := s.UsableIn(s.self.Zone); forList && len(sameZone) > 0 && s.rng.IntN(2) > 0 {
+		return []string{sameZone[s.rng.IntN(len(sameZone))].Addr}
 	}
-	if known := s.pick(1, "", Alive); list && len(known) > 0 && s.rng.IntN(2) > 0 {
-		return []string{known[0].Addr}
+	if active := s.pickRandom(1, "", Alive); forList && len(active) > 0 && s.rng.IntN(2) > 0 {
+		return []string{active[0].Addr}
 	}
 	addrs := s.seedAddrs()
-	for _, m := range s.pick(1, "", Dead) {
+	for _, m := range s.pickRandom(1, "", Dead) {
 		addrs = append(addrs, m.Addr)
-		s.spread(m)
+		s.enqueue(m)
 	}
 	if len(addrs) == 0 {
 		return nil
