--- a/pkg/feed/subscription.go
+++ b/pkg/feed/subscription.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// askAgain is how long a peer is given to send what it was asked for until it is asked again.
-const askAgain = time.Second
+// renewInterval is the minimum time between two requests to a peer to send its changes again.
+const renewInterval = time.Second
 
-// Subscription is what an instance knows of a peer that sends it changes. The peer alone keeps how far it
-// has sent them, and does not learn that this instance has dropped or refused some. Its news show
-// that: it sends all changes up to the position that it claims before its next news.
+// Subscription tracks what an instance has heard from a peer that sends it changes. Only the peer
+// knows how far it has sent them, and it does not learn that this instance has dropped or
+// rejected some. Its status messages reveal that: the peer sends all changes up to the position
+// that it claims in one of them before it sends the next.
 type Subscription struct {
-	claimed Position
-	askedAt time.Time
+	claimed     Position
+	requestedAt time.Time
 }
 
-// Renew notes that the peer is asked anew: what it claimed before does not count.
-func (s *Subscription) Renew(now time.Time) { *s = Subscription{askedAt: now} }
+// Renew records that the peer is asked again. What it claimed before no longer counts.
+func (s *Subscription) Renew(now time.Time) { *s = Subscription{requestedAt: now} }
 
-// Observe takes over the position that the peer claims, given the one that is known, and reports whether
-// the peer is to be asked anew.
+// Observe records the position that the peer claims, given the known one, and reports whether the
+// peer must be asked again.
 func (s *Subscription) Observe(claimed, known Position, now time.Time) bool {
-	missed := known.Before(s.claimed) && now.Sub(s.askedAt) >= askAgain
+	missed := known.Before(s.claimed) && now.Sub(s.requestedAt) >= renewInterval
 	s.claimed = claimed
 	return missed
 }
