--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -1,7 +1,6 @@
-// Package discovery follows what the platform publishes: the configuration and
-// the list of leafs. It decides when to list, when to watch, how long to wait
-// after a failure, and when the store counts as away; a Source does the
-// talking.
+// Package discovery follows what the platform's store publishes: the configuration and the list
+// of leafs. It decides when to list and when to watch, how long to back off after a failure, and
+// when the store counts as unavailable. A Source does the I/O.
 package discovery
 
 import (
@@ -17,81 +16,81 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// ErrCompacted says that the store no longer has the history asked for.
+// ErrCompacted means that the store no longer has the history that a watch needs.
 var ErrCompacted = errors.New("store history is no longer available")
 
-// Options pace the calls, each of which is billed.
+// Options control the pace of calls, each of which is billed, and the handling of outages.
 type Options struct {
 	Pace longpoll.Options
-	// OutageThreshold is how long calls must fail before leafs that vanish count
-	// as lapsed with the outage.
+	// OutageThreshold is how long calls must fail before leafs that are missing afterwards count
+	// as expired because of the outage.
 	OutageThreshold time.Duration
-	// LostEntryGrace is how long entries hold that the store has lost, for their writers to write them again.
+	// LostEntryGrace is how long entries that a restored store has lost stay in use, so that
+	// their writers can write them again.
 	LostEntryGrace time.Duration
 }
 
-// Follower keeps a Sink up to date.
+// Follower keeps a Sink up to date with the store.
 type Follower struct {
 	source Source
 	sink   Sink
 	opts   Options
 	log    *oplog.Log
 
-	// reading: the store is read by this instance; woken is sent to when that changes.
-	reading atomic.Bool
-	woken   chan struct{}
-	// changed is called when there is something new for those that are fed.
-	changed func()
-	// proofGap is told how far the proofs are apart that what is known is up to date.
-	proofGap func(time.Duration)
+	// reading is whether this instance reads the store. readingChanged is signalled on a change.
+	reading        atomic.Bool
+	readingChanged chan struct{}
+	// onChange is called when there is news for the peers that listen to this instance.
+	onChange func()
+	// onProof receives the time between successive proofs that the data is up to date.
+	onProof func(time.Duration)
 
-	// mu guards the book, and the order of what the sink is told.
-	mu   sync.Mutex
-	book *feed.Cache
-	// position is that of the book; risenAt is when it last rose.
-	position atomic.Pointer[feed.Position]
-	risenAt  time.Time
-	// config is the newest configuration of all eras.
-	config Event
+	// mu guards the cache, and the order of the calls to the sink.
+	mu    sync.Mutex
+	cache *feed.Cache
+	// position is that of the cache; positionRaisedAt is when it last rose.
+	position         atomic.Pointer[feed.Position]
+	positionRaisedAt time.Time
+	// newestConfig is the newest configuration of all eras.
+	newestConfig Event
 
-	// relist: the store is listed next, since changes may have been missed.
-	relist atomic.Bool
-	// open ends the call that waits for changes.
-	open atomic.Pointer[context.CancelCauseFunc]
+	// needsListing makes the next call a listing, because changes may have been missed.
+	needsListing atomic.Bool
+	// cancelWatch cancels the watch in flight; nil if there is none.
+	cancelWatch atomic.Pointer[context.CancelCauseFunc]
 
 	pacer *longpoll.Pacer
-	// group is what is known of the other instances that read the store.
-	group atomic.Pointer[longpoll.Group]
-	// lastGood is the last successful call, failingSince the first failed
-	// one after it.
-	lastGood     time.Time
+	// readers describes the other instances that read the store.
+	readers atomic.Pointer[longpoll.Group]
+	// lastSuccess is when a call last succeeded, failingSince when the first one failed after it.
+	lastSuccess  time.Time
 	failingSince time.Time
 
 	calls      atomic.Int64
 	failures   atomic.Int64
 	unreadable atomic.Int64
 	restores   atomic.Int64
-	// provenAt is up to when all is known that the store published.
+	// provenAt is the time up to which all that the store published is known.
 	provenAt atomic.Pointer[time.Time]
-	// answeredAt is when the store last answered this instance itself, confirmedAt this one or
-	// another that it listens to.
+	// answeredAt is when the store last answered this instance itself; confirmedAt is when it
+	// last answered this one or an instance that it listens to.
 	answeredAt, confirmedAt atomic.Pointer[time.Time]
 }
 
-// Calls is how many calls were made, Failures how many of them failed.
+// Calls returns the number of calls made to the store.
 func (f *Follower) Calls() int64 { return f.calls.Load() }
 
-// Failures is how many calls failed.
+// Failures returns the number of calls that failed.
 func (f *Follower) Failures() int64 { return f.failures.Load() }
 
-// Unreadable is how many entries could not be decoded.
+// Unreadable returns the number of entries that could not be decoded.
 func (f *Follower) Unreadable() int64 { return f.unreadable.Load() }
 
-// Restores is how many times the store has come back in another era.
+// Restores returns how many times the store has come back in another era.
 func (f *Follower) Restores() int64 { return f.restores.Load() }
 
-// Age is how old what is known is: for how long the store may have published something else. It is
-// 0 before anything is known.
+// Age returns the staleness of the data, that is the time since it was last proven to be up to
+// date. It is 0 before anything is known.
 func (f *Follower) Age(now time.Time) time.Duration {
 	at := f.provenAt.Load()
 	if at == nil {
@@ -100,16 +99,16 @@
 	return now.Sub(*at)
 }
 
-// NewFollower returns a follower that has read nothing yet.
+// NewFollower returns a follower that has not read anything yet.
 func NewFollower(source Source, sink Sink, opts Options, log *oplog.Log) *Follower {
 	f := &Follower{
 		pacer:  longpoll.New(opts.Pace, rand.Float64),
 		source: source, sink: sink, opts: opts, log: log,
-		book: feed.NewCache(), woken: make(chan struct{}, 1), changed: func() {}, proofGap: func(time.Duration) {},
+		cache: feed.NewCache(), readingChanged: make(chan struct{}, 1), onChange: func() {}, onProof: func(time.Duration) {},
 	}
 	f.reading.Store(true)
 	f.position.Store(&feed.Position{})
-	f.group.Store(&longpoll.Group{Place: 1})
+	f.readers.Store(&longpoll.Group{Place: 1})
 	return f
 }
 
@@ -117,7 +116,7 @@
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.reading.Load() {
-			f.idle(ctx)
+			f.waitUntilReading(ctx)
 			continue
 		}
 		pause := f.step(ctx)
@@ -133,64 +132,64 @@
 	}
 }
 
-// Reasons to end a call that is still open.
+// Causes for cancelling a watch in flight.
 var (
-	// errStale: what is known has become too old.
-	errStale = errors.New("given up: what is known is too old")
-	// errEraEnded: another instance has told of a later era, and the call would not bring its changes.
-	errEraEnded = errors.New("given up: the store was restored")
+	// errStale means that the data has become too old.
+	errStale = errors.New("watch cancelled: the data is too old")
+	// errEraEnded means that a peer reported a later era, whose changes the watch cannot return.
+	errEraEnded = errors.New("watch cancelled: the store was restored")
 )
 
-// step makes the next call or listing and returns how long to pause.
+// step makes the next call or listing and returns how long to pause afterwards.
 func (f *Follower) step(ctx context.Context) time.Duration {
 	began := time.Now()
-	if f.relist.Load() || !f.Known() {
+	if f.needsListing.Load() || !f.Known() {
 		if err := f.list(ctx); err != nil {
-			return f.failed(ctx, call{kind: "list", began: began}, err)
+			return f.recordFailure(ctx, call{kind: "list", began: began}, err)
 		}
 		return f.pacer.Answered(true, false)
 	}
-	next := f.pacer.Next(f.Age(began), *f.group.Load())
-	asked := f.Position()
-	page, err := f.watch(ctx, asked, next)
+	next := f.pacer.Next(f.Age(began), *f.readers.Load())
+	from := f.Position()
+	page, err := f.watch(ctx, from, next)
 	c := call{kind: "watch", began: began, wait: next.Wait}
-	if page.At.Era > asked.Era {
-		f.storeRestored(page.At)
+	if page.At.Era > from.Era {
+		f.noteStoreRestored(page.At)
 	}
 	switch {
 	case errors.Is(err, ErrCompacted):
-		f.historyGone(asked)
+		f.noteHistoryGone(from)
 		return 0
 	case errors.Is(err, errStale), errors.Is(err, errEraEnded):
-		f.gaveUp(c)
+		f.recordGivenUp(c)
 		return 0
 	case err != nil:
-		return f.failed(ctx, c, err)
+		return f.recordFailure(ctx, c, err)
 	}
-	f.succeeded()
+	f.recordSuccess()
 	f.unreadable.Add(int64(page.Unreadable))
 	switch {
-	case page.At.Before(asked):
-		f.storeBehind(asked, page.At)
+	case page.At.Before(from):
+		f.noteStoreBehind(from, page.At)
 		return 0
-	case page.At.Era != asked.Era || !f.take(feed.Update{From: asked, To: page.At}, page.Events):
+	case page.At.Era != from.Era || !f.applyAnswer(feed.Update{From: from, To: page.At}, page.Events):
 		return 0
 	}
-	f.answered()
+	f.noteAnswer()
 	return f.pacer.Answered(len(page.Events) > 0, page.Full)
 }
 
-// watch makes one call. It ends early where what is known becomes too old meanwhile, or of an era that is over.
+// watch makes one watch call. It is cancelled when the data becomes too old or its era has ended.
 func (f *Follower) watch(ctx context.Context, after feed.Position, next longpoll.Call) (Page, error) {
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	f.open.Store(&giveUp)
-	defer f.open.Store(nil)
+	ctx, cancelWatch := context.WithCancelCause(ctx)
+	defer cancelWatch(nil)
+	f.cancelWatch.Store(&cancelWatch)
+	defer f.cancelWatch.Store(nil)
 	if f.Position().Era != after.Era {
-		giveUp(errEraEnded)
+		cancelWatch(errEraEnded)
 	}
 	if next.Stale > 0 {
-		go f.untilStale(ctx, next.Stale, giveUp)
+		go f.cancelWhenStale(ctx, next.Stale, cancelWatch)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, next.Wait+next.Timeout)
 	defer cancel()
@@ -201,15 +200,15 @@
 	return page, err
 }
 
-// untilStale gives a call up when what is known is older than a limit, unless the call ends before.
-func (f *Follower) untilStale(ctx context.Context, limit time.Duration, giveUp context.CancelCauseFunc) {
+// cancelWhenStale cancels a call once the age of the data reaches limit, unless ctx ends first.
+func (f *Follower) cancelWhenStale(ctx context.Context, limit time.Duration, cancelWatch context.CancelCauseFunc) {
 	for {
-		left := limit - f.Age(time.Now())
-		if left <= 0 {
-			giveUp(errStale)
+		remaining := limit - f.Age(time.Now())
+		if remaining <= 0 {
+			cancelWatch(errStale)
 			return
 		}
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -219,42 +218,43 @@
 	}
 }
 
-// gaveUp notes a call that was given up; the next one tells whether the store is away.
-func (f *Follower) gaveUp(c call) {
+// recordGivenUp records a cancelled call. The next one shows whether the store is available.
+func (f *Follower) recordGivenUp(c call) {
 	now := time.Now()
 	f.calls.Add(1)
 	f.pacer.GaveUp()
 	f.log.Decision("store_call_given_up", oplog.Fields{
 		"wait_ms": c.wait.Milliseconds(), "took_ms": now.Sub(c.began).Milliseconds(),
-		"age_ms": f.Age(now).Milliseconds(), "heard": f.group.Load().Heard,
+		"age_ms": f.Age(now).Milliseconds(), "heard": f.readers.Load().Heard,
 	})
 }
 
-// storeRestored notes that the store has answered in a later era. What it wrote there below the position that
-// is known would be missed by watching on, so all is listed; until then what is known holds.
-func (f *Follower) storeRestored(at feed.Position) {
-	f.relist.Store(true)
+// noteStoreRestored records that the store answered in a later era. A watch from the known
+// position would miss what the store wrote below it in that era, so everything is listed again.
+// Until then the known entries stay in use.
+func (f *Follower) noteStoreRestored(at feed.Position) {
+	f.needsListing.Store(true)
 	f.log.State("store_restored", oplog.Fields{"era": f.Position().Era, "revision": f.Position().Revision, "store_era": at.Era})
 }
 
-// historyGone lets all be listed: the store drops its history at times.
-func (f *Follower) historyGone(asked feed.Position) {
-	f.relist.Store(true)
-	f.log.State("store_history_gone", oplog.Fields{"era": asked.Era, "revision": asked.Revision})
+// noteHistoryGone requests a listing after the store has dropped its history.
+func (f *Follower) noteHistoryGone(from feed.Position) {
+	f.needsListing.Store(true)
+	f.log.State("store_history_gone", oplog.Fields{"era": from.Era, "revision": from.Revision})
 }
 
-// storeBehind forgets what is known. Another instance has told a position that the store has not
-// reached: watching on from it would hear nothing for good.
-func (f *Follower) storeBehind(known, store feed.Position) {
+// noteStoreBehind discards what is known. A peer has reported a position that the store has not
+// reached; a watch from there would never return anything.
+func (f *Follower) noteStoreBehind(known, store feed.Position) {
 	f.log.State("store_behind_feed", oplog.Fields{
 		"era": known.Era, "revision": known.Revision, "store_era": store.Era, "store_revision": store.Revision,
 	})
-	f.forget()
+	f.reset()
 }
 
-// apply hands the events to the sink. Of several configurations only the last
-// one counts, and it comes after the leafs, so that its routes have some.
-func (f *Follower) apply(events []Event, origin Origin) {
+// applyEvents passes events to the sink. Of several configurations only the last one counts. It
+// comes after the leafs, so that its routes have some.
+func (f *Follower) applyEvents(events []Event, origin Origin) {
 	var config Event
 	for _, e := range events {
 		switch {
@@ -273,46 +273,46 @@
 		}
 	}
 	if config.Config != nil {
-		f.keepNewest(config)
+		f.keepNewestConfig(config)
 		f.sink.ConfigUpdated(config.Config, origin)
 	}
 }
 
-// keepNewest lets the book hold the newest configuration: a store that was restored may publish an
-// older one for a while, by which an instance that starts then would serve. mu is held.
-func (f *Follower) keepNewest(e Event) {
-	if f.config.Config == nil || e.Config.Version >= f.config.Config.Version {
-		f.config = e
+// keepNewestConfig keeps the newest configuration in the cache. A restored store may publish an
+// older one for a while, which an instance that starts then would adopt. mu must be held.
+func (f *Follower) keepNewestConfig(e Event) {
+	if f.newestConfig.Config == nil || e.Config.Version >= f.newestConfig.Config.Version {
+		f.newestConfig = e
 		return
 	}
-	f.book.ReplaceContent(e.Item.Key, f.config.Item.Raw)
+	f.cache.ReplaceContent(e.Item.Key, f.newestConfig.Item.Raw)
 }
 
-// succeeded notes a call that was answered.
-func (f *Follower) succeeded() {
+// recordSuccess records an answered call.
+func (f *Follower) recordSuccess() {
 	now := time.Now()
 	f.calls.Add(1)
 	if !f.failingSince.IsZero() {
-		away := now.Sub(f.failingSince)
+		outage := now.Sub(f.failingSince)
 		f.failingSince = time.Time{}
-		f.log.State("store_regained", oplog.Fields{"away_ms": away.Milliseconds(), "attempts": f.pacer.Attempts(), "revision": f.Position().Revision})
-		if now.Sub(f.lastGood) >= f.opts.OutageThreshold {
-			f.returned(now)
+		f.log.State("store_regained", oplog.Fields{"away_ms": outage.Milliseconds(), "attempts": f.pacer.Attempts(), "revision": f.Position().Revision})
+		if now.Sub(f.lastSuccess) >= f.opts.OutageThreshold {
+			f.noteRecovery(now)
 		}
 	}
-	f.lastGood = now
+	f.lastSuccess = now
 }
 
-// call is one call to the store as the log tells it.
+// call describes one call to the store in log entries.
 type call struct {
 	kind  string
 	began time.Time
-	// wait is how long a watch was to wait for a change.
+	// wait is how long a watch was to wait for a change; zero for a listing.
 	wait time.Duration
 }
 
-// failed notes a call that failed and returns how long to wait.
-func (f *Follower) failed(ctx context.Context, c call, err error) time.Duration {
+// recordFailure records a failed call and returns how long to wait before the next one.
+func (f *Follower) recordFailure(ctx context.Context, c call, err error) time.Duration {
 	if ctx.Err() != nil {
 		return 0
 	}
--- a/pkg/discovery/events.go
+++ b/pkg/discovery/events.go
@@ -9,26 +9,26 @@
 	"github.com/indigoyoke/indigoyoke/pkg/routing"
 )
 
-// Event is one published change. Exactly one of its fields besides Item is set; an event
-// about anything else, or one that cannot be decoded, has none.
+// Event is one published change. At most one of its fields besides Item is set; none is for an
+// entry of another kind, or for one that cannot be decoded.
 type Event struct {
-	// Item is the entry as it was published, for other instances; without a key for one
-	// that has none that can be read.
+	// Item is the entry as it was published, to be passed on to peers. Its key is empty if the
+	// entry has no readable key.
 	Item        feed.Item
 	Leaf        *replica.Leaf
 	Config      *routing.Config
 	RemovedLeaf string
-	// UnreadableLeaf is a leaf whose entry cannot be decoded: there is no leaf to
-	// use under this ID.
+	// UnreadableLeaf is the ID of a leaf whose entry cannot be decoded. No leaf can be used under
+	// this ID.
 	UnreadableLeaf string
-	// Evacuated is an availability zone whose leafs are to get nothing, Readmitted one that
-	// is taken back.
+	// Evacuated is an availability zone whose leafs must not get requests. Readmitted is one that
+	// is back in use.
 	Evacuated, Readmitted string
 }
 
-// Listing names what a complete listing holds.
+// Listing holds the names found in a complete listing.
 type Listing struct {
-	// Leafs are the IDs of the leafs, Evacuated the availability zones that are evacuated.
+	// Leafs are the IDs of the leafs, and Evacuated the evacuated availability zones.
 	Leafs, Evacuated map[string]bool
 }
 
@@ -37,7 +37,7 @@
 	return Listing{Leafs: make(map[string]bool), Evacuated: make(map[string]bool)}
 }
 
-// add adds what an event names.
+// add adds the names in an event.
 func (l Listing) add(e Event) {
 	if e.Leaf != nil {
 		l.Leafs[e.Leaf.ID] = true
@@ -47,53 +47,53 @@
 	}
 }
 
-// Page is what one call to the store brought.
+// Page is the result of one call to the store.
 type Page struct {
 	Events []Event
-	// At is where the store was as of the call.
+	// At is the position of the store at the call.
 	At feed.Position
-	// Next continues a listing; "" when it is complete.
+	// Next is where to continue the listing; empty when it is complete.
 	Next string
-	// Full: a watch brought as much as fits into one reply, so that there may
-	// be more already.
+	// Full means that the answer to a watch holds as much as fits, so more changes may be
+	// available already.
 	Full bool
 	// Unreadable is how many of the events could not be decoded.
 	Unreadable int
 }
 
-// Source reads the store. Where the store has answered with an error, the page has at least the era
-// that it stated.
+// Source reads the store. If the store answered with an error, the returned page still has at
+// least the era from the answer.
 type Source interface {
-	// List returns one page of all that is published, from the start or from
-	// where an earlier page ended.
+	// List returns one page of everything published, from the start or, given an earlier page's
+	// Next, from there.
 	List(ctx context.Context, next string) (Page, error)
-	// Watch returns what changed after a position, as soon as there is
-	// something, or an empty page after wait.
+	// Watch returns what changed after a position as soon as there is something, or an empty page
+	// after wait.
 	Watch(ctx context.Context, after feed.Position, wait time.Duration) (Page, error)
 	// Decode decodes an entry that another instance has read.
 	Decode(item feed.Item) Event
 }
 
-// Origin is from whom an instance has learned something.
+// Origin is where an instance has learned something from.
 type Origin string
 
-// Origins.
+// The origins.
 const (
 	FromStore Origin = "store"
 	FromPeer  Origin = "peer"
 )
 
-// Sink takes over what is published.
+// Sink receives what is published.
 type Sink interface {
 	LeafUpdated(leaf replica.Leaf)
 	LeafRemoved(id string)
-	// LeafUnreadable is told a leaf whose entry cannot be decoded.
+	// LeafUnreadable reports a leaf whose entry cannot be decoded.
 	LeafUnreadable(id string)
-	// ZoneEvacuationChanged is told a zone that the operator evacuates, or has taken back.
+	// ZoneEvacuationChanged reports that the operator evacuates a zone or takes it back.
 	ZoneEvacuationChanged(zone string, evacuated bool)
-	// Listed is told a complete listing: what it lacks is gone.
+	// Listed reports a complete listing. Whatever it lacks has been removed.
 	Listed(l Listing)
 	ConfigUpdated(c *routing.Config, origin Origin)
-	// StoreRecovered is told before the first events after an outage.
+	// StoreRecovered is called before the first events after an outage.
 	StoreRecovered()
 }
--- a/pkg/discovery/listing.go
+++ b/pkg/discovery/listing.go
@@ -9,37 +9,36 @@
 	"github.com/indigoyoke/indigoyoke/pkg/oplog"
 )
 
-// errRestored fails a listing whose pages are of several eras.
-var errRestored = errors.New("the store was restored while it was listed")
+// errRestoredDuringListing fails a listing whose pages are of different eras.
+var errRestoredDuringListing = errors.New("store was restored during the listing")
 
-// list reads all that is published. Pages are no snapshot: a leaf may leave
-// between two of them. Watching on from the first page's position replays what
-// was missed.
+// list reads everything that is published. The pages are not a consistent snapshot: a leaf may be
+// removed between two of them. Watching from the position of the first page replays such changes.
 func (f *Follower) list(ctx context.Context) error {
-	f.relist.Store(false)
+	f.needsListing.Store(false)
 	listing := newListing()
-	at, events, err := f.pages(ctx)
+	at, events, err := f.readPages(ctx)
 	if err != nil {
-		f.relist.Store(true)
+		f.needsListing.Store(true)
 		return err
 	}
 	for _, e := range events {
 		listing.add(e)
 	}
-	if !f.take(feed.Update{Full: true, To: at}, events) {
-		return nil // Another instance has told of a later era.
+	if !f.applyAnswer(feed.Update{Full: true, To: at}, events) {
+		return nil // A peer has reported a later era.
 	}
-	f.addKnown(listing, at)
+	f.addKnownEntries(listing, at)
 	f.sink.Listed(listing)
-	f.answered()
+	f.noteAnswer()
 	f.log.State("store_listed", oplog.Fields{
 		"era": at.Era, "revision": at.Revision, "leafs": len(listing.Leafs), "evacuated_zones": len(listing.Evacuated),
 	})
 	return nil
 }
 
-// pages reads the pages of a listing and returns where the store was at the first one.
-func (f *Follower) pages(ctx context.Context) (at feed.Position, events []Event, err error) {
+// readPages reads the pages of a listing and returns the position of the store at the first one.
+func (f *Follower) readPages(ctx context.Context) (at feed.Position, events []Event, err error) {
 	for first, next := true, ""; first || next != ""; first = false {
 		callCtx, cancel := context.WithTimeout(ctx, f.opts.Pace.TimeoutMost)
 		page, err := f.source.List(callCtx, next)
@@ -47,13 +46,13 @@
 		if err != nil {
 			return at, nil, err
 		}
-		f.succeeded()
+		f.recordSuccess()
 		f.unreadable.Add(int64(page.Unreadable))
 		if first {
 			at = page.At
 		}
 		if page.At.Era != at.Era {
-			return at, nil, errRestored
+			return at, nil, errRestoredDuringListing
 		}
 		events = append(events, page.Events...)
 		next = page.Next
@@ -61,11 +60,11 @@
 	return at, events, nil
 }
 
-// addKnown adds to a listing what it may lack: what another instance has told of since it began, and
-// what holds although the store has lost it.
-func (f *Follower) addKnown(listing Listing, at feed.Position) {
+// addKnownEntries adds to a listing what it may lack: what peers have reported since it began,
+// and entries that stay in use although the store has lost them.
+func (f *Follower) addKnownEntries(listing Listing, at feed.Position) {
 	f.mu.Lock()
-	known := f.book.Since(feed.Position{}, time.Now())
+	known := f.cache.Since(feed.Position{}, time.Now())
 	f.mu.Unlock()
 	for _, it := range known.Items {
 		if it.At.After(at) || it.At.Era < at.Era {
