--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles an entry instance on the users' platform: the
-// callers' door, the gateway, the follower of the store, readiness, control
-// and metrics, and the order in which they start and stop.
+// Package node assembles an entry instance on the users' platform: the callers' listener, the
+// gateway, the follower of the store, readiness, control and metrics, and the order in which they
+// start and stop.
 package node
 
 import (
@@ -26,22 +26,22 @@
 	"github.com/indigoyoke/indigoyoke/pkg/settings"
 )
 
-// Adapter translates between the node and one platform.
+// Adapter connects the node to one platform.
 type Adapter struct {
-	// ReadyPath is where the balancer asks whether the instance is ready.
+	// ReadyPath is the path on which the load balancer probes readiness.
 	ReadyPath     string
 	Source        func(storeAddress string, log *oplog.Log) discovery.Source
 	Leafs         func(pool *leafconn.Pool) gateway.Leafs
 	CallerHandler func(g *gateway.Gateway, log *oplog.Log) http.Handler
-	// PeerCodec translates for peers; nil: instances work alone.
+	// PeerCodec encodes messages for peers; nil if instances work alone.
 	PeerCodec peers.Codec
 }
 
-// logDrain is how long buffered log lines may take to be written at the end.
-const logDrain = 100 * time.Millisecond
+// logDrainTimeout is how long writing buffered log lines may take at shutdown.
+const logDrainTimeout = 100 * time.Millisecond
 
-// limitsUnknown bound callers until a configuration is known.
-var limitsUnknown = routing.Limits{HeaderBytes: 16 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+// initialLimits apply to callers until a configuration is known.
+var initialLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // Node is one entry instance.
 type Node struct {
@@ -92,7 +92,7 @@
 	n.follower = discovery.NewFollower(adapter.Source(set.Store.Address, n.log), n, storeOptions(set), n.log)
 	gaps := n.metrics.NewHistogram("node_store_proof_gap_seconds")
 	n.follower.OnProof(func(gap time.Duration) { gaps.Update(gap.Seconds()) })
-	if n.front, err = front.New(set.Listen.Callers, adapter.CallerHandler(n.gateway, n.log), limitsUnknown, set.Limits.MaxConnections); err != nil {
+	if n.front, err = front.New(set.Listen.Callers, adapter.CallerHandler(n.gateway, n.log), initialLimits, set.Limits.MaxConnections); err != nil {
 		return nil, err
 	}
 	if n.status, err = n.newStatusServers(set, adapter.ReadyPath); err != nil {
@@ -105,7 +105,7 @@
 		n.table.SetWarmers(replica.Warmers{Alone: set.Leafs.Instances})
 	}
 	n.registerGauges()
-	n.registerPeers()
+	n.registerPeerGauges()
 	return n, nil
 }
 
@@ -149,7 +149,7 @@
 	}
 }
 
-// Run serves until a stop signal and then stops gracefully.
+// Run serves until a stop signal and then shuts down gracefully.
 func (n *Node) Run() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
@@ -158,10 +158,10 @@
 	n.Stop()
 }
 
-// CallersAddr is the bound address for callers.
+// CallersAddr returns the bound address for callers.
 func (n *Node) CallersAddr() string { return n.front.Addr() }
 
-// ReadinessAddr is the bound address that the balancer asks.
+// ReadinessAddr returns the bound address that the load balancer probes.
 func (n *Node) ReadinessAddr() string { return n.status.all[0].Addr() }
 
 // Start serves in the background.
@@ -177,12 +177,11 @@
 	go n.runTicks(ctx)
 }
 
-// Stop leaves the balancer first, then refuses new connections and waits for
+// Stop first reports not ready to the load balancer, then refuses new connections and waits for
 // the requests in flight.
 //
-// The balancer goes on sending connections until it has missed two readiness
-// answers. Closing the listener at once would refuse them; one notices failed
-// connects around each planned stop.
+// The load balancer keeps sending connections until 2 readiness probes have failed. Closing the
+// listener at once would refuse them, which shows as failed connects around each planned stop.
 func (n *Node) Stop() {
 	set := n.set.Load()
 	n.draining.Store(true)
@@ -197,11 +196,11 @@
 	n.peering.close()
 	n.gateway.Close()
 	n.log.State("stopped", oplog.Fields{"in_flight": n.gateway.InFlight()})
-	n.log.Close(logDrain)
+	n.log.Close(logDrainTimeout)
 }
 
-// waitForStop reloads on SIGHUP, and when the settings file has changed, until
-// a stop signal comes.
+// waitForStop reloads the settings on SIGHUP and when the file has changed, until a stop signal
+// arrives.
 func (n *Node) waitForStop(signals <-chan os.Signal) {
 	changes := newFileWatch(n.path, n.log)
 	poll := time.NewTicker(settings.Duration(n.set.Load().Reload.EveryMs))
@@ -223,7 +222,7 @@
 	}
 }
 
-// runTicks runs the systems over the tables each tick.
+// runTicks runs the periodic work.
 func (n *Node) runTicks(ctx context.Context) {
 	ticker := time.NewTicker(settings.Duration(n.set.Load().Tick))
 	defer ticker.Stop()
@@ -239,7 +238,7 @@
 	}
 }
 
-// ready reports whether callers are to be sent here.
+// ready reports whether callers should be sent to this instance.
 func (n *Node) ready() bool {
 	now := time.Now()
 	return n.gateway.Config() != nil && !n.draining.Load() && !n.gateway.Isolated(now) && !n.peering.isolated(now)
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -16,13 +16,14 @@
 	"github.com/indigoyoke/indigoyoke/pkg/settings"
 )
 
-// peering is this instance's part in the deployment; nil where it works alone.
+// peering is the communication with the other instances of the deployment; nil if this one works
+// alone.
 type peering struct {
 	agent  *peers.Peers
 	server *peers.Server
 }
 
-// newPeering listens for peers, if the settings say where.
+// newPeering listens for peers if the settings name an address.
 func (n *Node) newPeering(set *settings.Node, codec peers.Codec) (*peering, error) {
 	if set.Peers.Listen == "" || codec == nil {
 		return nil, nil
@@ -31,20 +32,20 @@
 	if err != nil {
 		return nil, err
 	}
-	// Datagrams come to the port that connections come to.
+	// Datagrams use the port of the connections.
 	addr := ln.Addr().(*net.TCPAddr)
 	udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
-		_ = ln.Close() // The first error says more.
+		_ = ln.Close() // The first error is more informative.
 		return nil, err
 	}
 	server, err := peers.NewServer(front.Resilient(ln), n.table, n.leafs, n.gateway, codec, set.Limits.Workers, set.Limits.MaxPeerConnections, n.log)
 	if err != nil {
 		return nil, err
 	}
-	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Capacity: room(set)}
+	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Capacity: capacity(set)}
 	agent := peers.New(self, seedAddrs(set.Peers.Seeds, addr.Port), udp, codec, n.log)
-	agent.ShareWarming(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmers)
+	agent.ShareWarming(set.Bounds.Zones, hasOtherSeeds(set.Peers.Seeds, addr.IP), n.table.SetWarmers)
 	server.Heed(n.gateway.Quarantine())
 	agent.ShareQuarantine(n.gateway.Quarantine())
 	if set.Peers.Batches {
@@ -58,35 +59,36 @@
 	if set.Peers.Feed {
 		n.follower.OnChange(server.Changed)
 		server.Feed(n.follower, func() bool { return n.gateway.Isolated(time.Now()) })
-		agent.Listen(n.follower, feed.Options{MaxAge: set.WatchWait() + newsLate, StartWait: set.StartWait()}, set.Peers.FirstStart)
+		agent.Listen(n.follower, feed.Options{MaxAge: set.WatchWait() + sourceAgeSlack, StartWait: set.StartWait()}, set.Peers.FirstStart)
 		n.follower.SetReading(false, longpoll.Group{}) // Until the agent has decided.
 	}
 	return &peering{agent: agent, server: server}, nil
 }
 
-// newsLate is how much older than the cycle of a reader's calls its news may seem: a slow
-// call to the store, and the time between two words of it.
-const newsLate = 500 * time.Millisecond
+// sourceAgeSlack is how much older than one cycle of a reader's calls its data may seem before
+// another source is sought. It covers a slow call to the store, and the time between two status
+// messages.
+const sourceAgeSlack = 500 * time.Millisecond
 
-// room is how much work this instance can take, in hundredths of a processor.
-func room(set *settings.Node) uint32 { return uint32(max(100*set.Machine.Processor, 1)) }
+// capacity returns how much work this instance can take, in hundredths of a processor.
+func capacity(set *settings.Node) uint32 { return uint32(max(100*set.Machine.Processor, 1)) }
 
-// seedAddrs are the peers' addresses of the instances that the seeds name: the port is
-// the same on all instances.
+// seedAddrs returns the peer addresses of the instances that the seeds name. The port is the same
+// on all instances.
 func seedAddrs(seeds []string, port int) []string {
 	var out []string
 	for _, seed := range seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			continue // Checked at load.
+			continue // Seeds are validated when the settings are loaded.
 		}
 		out = append(out, net.JoinHostPort(host, strconv.Itoa(port)))
 	}
 	return out
 }
 
-// others reports whether the seeds name an instance with another address than this one's.
-func others(seeds []string, own net.IP) bool {
+// hasOtherSeeds reports whether the seeds name an instance at an address other than this one's.
+func hasOtherSeeds(seeds []string, own net.IP) bool {
 	return slices.ContainsFunc(seeds, func(seed string) bool {
 		host, _, err := net.SplitHostPort(seed)
 		return err == nil && host != own.String()
@@ -102,21 +104,21 @@
 	go p.agent.Run()
 }
 
-// leave tells the peers that this instance leaves; it goes on serving them.
+// leave tells the peers that this instance is leaving. It continues to serve them.
 func (p *peering) leave() {
 	if p != nil {
 		p.agent.Leave()
 	}
 }
 
-// drain waits for the work that is done for peers.
+// drain waits for the work in progress on behalf of peers.
 func (p *peering) drain(ctx context.Context) {
 	if p != nil {
 		p.server.Drain(ctx)
 	}
 }
 
-// close ends all that is left.
+// close closes all remaining connections.
 func (p *peering) close() {
 	if p == nil {
 		return
@@ -125,7 +127,7 @@
 	p.server.Close()
 }
 
-// MemberState is a peer's row in the state dump.
+// MemberState describes a peer in the state dump.
 type MemberState struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
@@ -146,10 +148,10 @@
 	return out
 }
 
-// isolated reports whether the peers that run this instance's queries are isolated.
+// isolated reports whether the peers that run this instance's queries are cut off from leafs.
 func (p *peering) isolated(now time.Time) bool { return p != nil && p.agent.Isolated(now) }
 
-// QueriesHandedOff is how many queries peers were asked to run.
+// QueriesHandedOff returns how many queries peers were asked to run.
 func (n *Node) QueriesHandedOff() int64 {
 	if n.peering == nil {
 		return 0
@@ -157,7 +159,7 @@
 	return n.peering.agent.Handed.Load()
 }
 
-// connected lists the peers that queries may go through.
+// connected lists the peers that queries may be handed to.
 func (p *peering) connected() []string {
 	if p == nil {
 		return nil
@@ -165,8 +167,8 @@
 	return p.agent.Connected()
 }
 
-// registerPeers registers the metrics of the peers.
-func (n *Node) registerPeers() {
+// registerPeerGauges registers the metrics about peers.
+func (n *Node) registerPeerGauges() {
 	if n.peering == nil {
 		return
 	}
--- a/pkg/node/reload.go
+++ b/pkg/node/reload.go
@@ -8,7 +8,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/settings"
 )
 
-// fileWatch notices changes of a file by its time and size: the platform has
+// fileWatch detects changes of a file by its modification time and size, because the platform has
 // no change notification for files.
 type fileWatch struct {
 	path string
@@ -23,8 +23,8 @@
 	return w
 }
 
-// changed reports whether the file differs from the last call. A file that cannot
-// be looked at, as while it is being replaced, is unchanged until the next call.
+// changed reports whether the file differs from the previous call. A file that cannot be
+// examined, such as one that is being replaced, counts as unchanged until the next call.
 func (w *fileWatch) changed() bool {
 	info, err := os.Stat(w.path)
 	if err != nil {
@@ -36,19 +36,20 @@
 	return !same
 }
 
-// reload takes over the settings that may change while running. A file that
-// does not check leaves the old ones in force.
-func (n *Node) reload(why string) {
+// reload applies the settings that may change at run time. If the file is invalid, the previous
+// settings remain in force.
+func (n *Node) reload(reason string) {
 	set, err := settings.LoadNode(n.path)
 	if err != nil {
-		n.log.State("reload_failed", oplog.Fields{"why": why, "error": err.Error()})
+		n.log.State("reload_failed", oplog.Fields{"why": reason, "error": err.Error()})
 		return
 	}
-	was := n.set.Load()
-	needsRestart := set.Listen != was.Listen || set.Store != was.Store || set.Name != was.Name || set.Zone != was.Zone
+	previous := n.set.Load()
+	needsRestart := set.Listen != previous.Listen || set.Store != previous.Store ||
+		set.Name != previous.Name || set.Zone != previous.Zone
 	n.set.Store(set)
 	n.table.SetOptions(tableOptions(set))
 	n.gateway.SetOptions(gatewayOptions(set))
 	n.gateway.Quarantine().SetMost(settings.Duration(set.Limits.QuarantineMostMs), time.Now())
-	n.log.State("reloaded", oplog.Fields{"why": why, "needs_restart": needsRestart})
+	n.log.State("reloaded", oplog.Fields{"why": reason, "needs_restart": needsRestart})
 }
--- a/pkg/node/sink.go
+++ b/pkg/node/sink.go
@@ -34,12 +34,12 @@
 // LeafRemoved implements discovery.Sink.
 func (n *Node) LeafRemoved(id string) {
 	if n.table.Remove(id, time.Now()) {
-		n.forget(id, "no longer listed")
+		n.releaseLeaf(id, "no longer listed")
 	}
 }
 
-// forget releases what is held for a leaf that is out of use.
-func (n *Node) forget(id, reason string) {
+// releaseLeaf releases the connections of a leaf that is out of use.
+func (n *Node) releaseLeaf(id, reason string) {
 	n.leafs.Forget(id)
 	n.log.Decision("leaf_gone", oplog.Fields{"leaf": id, "reason": reason})
 }
@@ -47,12 +47,12 @@
 // LeafUnreadable implements discovery.Sink.
 func (n *Node) LeafUnreadable(id string) {
 	if n.table.Withdraw(id, time.Now()) {
-		n.forget(id, "its entry cannot be decoded")
+		n.releaseLeaf(id, "its entry cannot be decoded")
 	}
 }
 
-// Listed implements discovery.Sink. A listing may be older than what a peer has told: it takes zones
-// back, and ZoneEvacuated alone evacuates them.
+// Listed implements discovery.Sink. A listing may be older than what a peer has reported, so it
+// only readmits zones. Only ZoneEvacuationChanged evacuates them.
 func (n *Node) Listed(l discovery.Listing) {
 	for _, id := range n.table.IDs() {
 		if !l.Leafs[id] {
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -17,11 +17,11 @@
 	"github.com/indigoyoke/indigoyoke/pkg/settings"
 )
 
-// statusServers are the listeners that are not for callers.
+// statusServers are the HTTP servers that are not for callers.
 type statusServers struct{ all []*service.Server }
 
-// newStatusServers listens for the balancer's question, and for operators on
-// the control and metrics addresses.
+// newStatusServers listens for the load balancer's readiness probes, and for operators on the
+// control and metrics addresses.
 func (n *Node) newStatusServers(set *settings.Node, readyPath string) (*statusServers, error) {
 	s := &statusServers{}
 	resilient := func(ln net.Listener) net.Listener { return front.Resilient(ln) }
@@ -45,8 +45,8 @@
 	return s, nil
 }
 
-// start serves in the background. A server that ends leaves the balancer or the
-// operators without answers, so its end is logged.
+// start serves in the background. If a server ends, the load balancer or the operators get no
+// more answers, so this is logged.
 func (s *statusServers) start(log *oplog.Log) {
 	for _, srv := range s.all {
 		go func() {
@@ -69,27 +69,27 @@
 	OpenConns     int64               `json:"open_leaf_connections"`
 	Leafs         []replica.LeafState `json:"leafs"`
 	Members       []MemberState       `json:"members"`
-	// Quarantine lists the requests that are suspected of ending leafs, or known to.
+	// Quarantine lists the requests that are suspected, or known, to end leafs.
 	Quarantine []quarantine.State `json:"quarantine"`
-	// Evacuated are the availability zones whose leafs are to get nothing.
+	// Evacuated lists the availability zones whose leafs must not get requests.
 	Evacuated []string `json:"evacuated"`
-	// Peers are the names of the peers that are connected.
+	// Peers lists the names of the connected peers.
 	Peers []string   `json:"peers"`
 	Store StoreState `json:"store"`
 }
 
-// StoreState is how this instance knows what the platform's store publishes.
+// StoreState describes this instance's knowledge of the platform's store.
 type StoreState struct {
-	// Reading: it reads the store itself; otherwise its peers feed it.
+	// Reading means that it reads the store itself; otherwise its peers feed it.
 	Reading bool `json:"reading"`
-	// Era and Revision are where the store was at the latest change that is known.
+	// Era and Revision are the position of the store at the latest known change.
 	Era      int64 `json:"era"`
 	Revision int64 `json:"revision"`
-	// AgeMs is how long ago the store last answered it, or one that feeds it.
+	// AgeMs is how long ago the store last answered this instance or one that feeds it.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// State returns the dump served on the control address.
+// State returns the state dump that is served on the control address.
 func (n *Node) State() any {
 	set := n.set.Load()
 	s := State{
@@ -106,7 +106,7 @@
 	return s
 }
 
-// storeState is how this instance knows what the platform's store publishes.
+// storeState returns the part of the state dump about the store.
 func (n *Node) storeState() StoreState {
 	at := n.follower.Position()
 	return StoreState{
@@ -115,7 +115,7 @@
 	}
 }
 
-// registerGauges registers the metrics that are read off the state.
+// registerGauges registers the metrics that are computed from the state.
 func (n *Node) registerGauges() {
 	gauge := func(name string, f func() float64) { n.metrics.NewGauge(name, f) }
 	gauge("node_ready", func() float64 {
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -27,61 +27,61 @@
 // simStore is the platform's store in virtual time.
 type simStore struct {
 	mu sync.Mutex
-	storeState
-	// history is all that was written.
+	simStoreState
+	// history holds all entries that were written.
 	history []feed.Item
-	// version is that of the newest configuration, and confirmed when each one was written.
+	// version is that of the newest configuration; writtenAt is when each version was written.
 	version   int64
-	confirmed map[int64]time.Time
+	writtenAt map[int64]time.Time
 	calls     int
 	// disturbedUntil is when the last disturbance ended.
 	disturbedUntil time.Time
 }
 
-// storeState is what calls depend on.
-type storeState struct {
+// simStoreState is the part of the store's state that calls depend on.
+type simStoreState struct {
 	revision int64
 	// era rises when the store is restored from a copy.
 	era  int64
 	mode storeMode
-	// epoch rises when all calls that are open are never answered, cuts when they are ended.
-	epoch, cuts int
-	// floor is the oldest revision from which a watch can go on. deaf: open watches hear nothing.
-	floor int64
-	deaf  bool
-	// answer is how long an answer takes.
-	answer time.Duration
-	// changed is closed at the next change of this.
+	// drops rises when the open calls are dropped without an answer, resets when they are reset.
+	drops, resets int
+	// oldestRevision is the oldest one to watch from; muted hides changes from open watches.
+	oldestRevision int64
+	muted          bool
+	// answerDelay is how long an answer takes.
+	answerDelay time.Duration
+	// changed is closed at the next change of this state.
 	changed chan struct{}
 }
 
-// storeMode is how the store answers new calls.
+// storeMode is how the store treats new calls.
 type storeMode int
 
 const (
-	storeWell storeMode = iota
+	storeHealthy storeMode = iota
 	storeSilent
 	storeRefusing
-	// storeLossy leaves each third call without an answer.
+	// storeLossy leaves each third call unanswered.
 	storeLossy
 )
 
 var (
-	errStoreBusy = errors.New("store answered with status 503")
-	errStoreCut  = errors.New("connection reset")
+	errStoreBusy  = errors.New("store answered with status 503")
+	errStoreReset = errors.New("connection reset")
 )
 
 func newSimStore() *simStore {
 	s := &simStore{
-		storeState: storeState{answer: 4 * time.Millisecond, changed: make(chan struct{})},
-		confirmed:  map[int64]time.Time{},
+		simStoreState: simStoreState{answerDelay: 4 * time.Millisecond, changed: make(chan struct{})},
+		writtenAt:     map[int64]time.Time{},
 	}
-	s.put(feed.Item{Key: simConfig, Raw: []byte("0")})
+	s.put(feed.Item{Key: simConfigKey, Raw: []byte("0")})
 	return s
 }
 
-// simConfig is the key of the configuration; all others are leafs.
-const simConfig = "config"
+// simConfigKey is the key of the configuration; all other entries are leafs.
+const simConfigKey = "config"
 
 // put writes an entry.
 func (s *simStore) put(it feed.Item) {
@@ -90,7 +90,7 @@
 	s.history = append(s.history, it)
 }
 
-// items are the entries as of now.
+// items returns the current entries.
 func (s *simStore) items() map[string]feed.Item {
 	out := map[string]feed.Item{}
 	for _, it := range s.history {
@@ -100,43 +100,43 @@
 	return out
 }
 
-// restore goes back by some changes. It returns the last entry of each key that is lost.
-func (s *simStore) restore(back int) []feed.Item {
-	kept := max(1, len(s.history)-back)
+// restore reverts the last writes and returns the last lost entry of each key.
+func (s *simStore) restore(lostWrites int) []feed.Item {
+	kept := max(1, len(s.history)-lostWrites)
 	lost := map[string]feed.Item{}
 	for _, it := range s.history[kept:] {
 		lost[it.Key] = it
 	}
 	s.history = slices.Clone(s.history[:kept])
 	s.revision = s.history[kept-1].At.Revision
-	s.floor = min(s.floor, s.revision)
+	s.oldestRevision = min(s.oldestRevision, s.revision)
 	s.era++
 	s.disturbedUntil = time.Now()
 	return slices.Collect(maps.Values(lost))
 }
 
-// again writes an entry that was lost, unless its writer has written a later one.
-func (s *simStore) again(it feed.Item) {
-	if it.Key == simConfig {
+// rewrite writes a lost entry again, unless its writer has written a later one.
+func (s *simStore) rewrite(it feed.Item) {
+	if it.Key == simConfigKey {
 		_, version := s.config()
 		if version >= versionOf(it) {
 			return
 		}
-		for version < versionOf(it) { // Those between were lost too.
+		for version < versionOf(it) { // The versions in between were lost too.
 			version++
-			s.confirmed[version] = time.Now()
+			s.writtenAt[version] = time.Now()
 		}
 	}
 	s.put(it)
 }
 
-// config is the entry of the configuration, and its version.
+// config returns the entry of the configuration and its version.
 func (s *simStore) config() (feed.Item, int64) {
-	it := s.items()[simConfig]
+	it := s.items()[simConfigKey]
 	return it, versionOf(it)
 }
 
-// versionOf is the version of a configuration.
+// versionOf returns the version of a configuration.
 func versionOf(it feed.Item) int64 {
 	version, err := strconv.ParseInt(string(it.Raw), 10, 64)
 	if err != nil {
@@ -145,8 +145,8 @@
 	return version
 }
 
-// do changes the store and wakes the calls that wait.
-func (s *simStore) do(change func()) {
+// update changes the store and wakes the waiting calls.
+func (s *simStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -154,65 +154,65 @@
 	s.changed = make(chan struct{})
 }
 
-// write publishes another version.
-func (s *simStore) write() {
+// publishConfig publishes another version of the configuration.
+func (s *simStore) publishConfig() {
 	s.version++
-	s.put(feed.Item{Key: simConfig, Raw: strconv.AppendInt(nil, s.version, 10)})
-	s.confirmed[s.version] = time.Now()
+	s.put(feed.Item{Key: simConfigKey, Raw: strconv.AppendInt(nil, s.version, 10)})
+	s.writtenAt[s.version] = time.Now()
 }
 
-// swallow leaves the calls that are open without an answer, cut ends them, keep does nothing.
-func (s *simStore) swallow() { s.epoch++ }
-func (s *simStore) cut()     { s.cuts++ }
-func (s *simStore) keep()    {}
+// dropOpenCalls leaves open calls unanswered, resetOpenCalls resets them, keepOpenCalls keeps them.
+func (s *simStore) dropOpenCalls()  { s.drops++ }
+func (s *simStore) resetOpenCalls() { s.resets++ }
+func (s *simStore) keepOpenCalls()  {}
 
-// fail puts the store into a mode for some time, with some effect on the calls that are open.
-func (s *simStore) fail(mode storeMode, open func(), lasts time.Duration) {
-	s.do(func() {
+// fail puts the store into a mode for a duration and applies an effect to the open calls.
+func (s *simStore) fail(mode storeMode, affectOpenCalls func(), duration time.Duration) {
+	s.update(func() {
 		s.mode = mode
-		open()
+		affectOpenCalls()
 	})
-	time.Sleep(lasts)
-	s.do(func() {
-		s.mode = storeWell
+	time.Sleep(duration)
+	s.update(func() {
+		s.mode = storeHealthy
 		s.disturbedUntil = time.Now()
 	})
 }
 
-// loseHistory leaves open watches without news while versions are written, then drops the history
-// and ends them.
-func (s *simStore) loseHistory(lasts time.Duration) {
-	s.do(func() { s.deaf = true })
-	time.Sleep(lasts / 2)
-	s.do(s.write)
-	time.Sleep(lasts / 2)
-	s.do(func() {
-		s.deaf = false
-		s.floor = s.revision
-		s.cuts++
+// loseHistory hides changes from open watches while a version is written, then drops the history
+// and resets the watches.
+func (s *simStore) loseHistory(duration time.Duration) {
+	s.update(func() { s.muted = true })
+	time.Sleep(duration / 2)
+	s.update(s.publishConfig)
+	time.Sleep(duration / 2)
+	s.update(func() {
+		s.muted = false
+		s.oldestRevision = s.revision
+		s.resets++
 		s.disturbedUntil = time.Now()
 	})
 }
 
-// state is what a call sees of the store at one moment.
-func (s *simStore) state() storeState {
+// state returns the state of the store at this moment.
+func (s *simStore) state() simStoreState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.storeState
+	return s.simStoreState
 }
 
-// begin is the part that all calls share; it returns the state at the start.
-func (s *simStore) begin(ctx context.Context) (storeState, error) {
+// beginCall is the common first part of all calls. It returns the state at the start.
+func (s *simStore) beginCall(ctx context.Context) (simStoreState, error) {
 	s.mu.Lock()
 	s.calls++
-	call, at := s.calls, s.storeState
+	call, at := s.calls, s.simStoreState
 	s.mu.Unlock()
 	switch at.mode {
 	case storeSilent:
 		<-ctx.Done()
 		return at, ctx.Err()
 	case storeRefusing:
-		time.Sleep(at.answer)
+		time.Sleep(at.answerDelay)
 		return at, errStoreBusy
 	case storeLossy:
 		if call%3 == 0 {
@@ -223,10 +223,10 @@
 	return at, nil
 }
 
-// finish is the way of an answer back to the caller.
-func (s *simStore) finish(ctx context.Context, began storeState, page discovery.Page) (discovery.Page, error) {
-	time.Sleep(began.answer)
-	if now := s.state(); now.epoch != began.epoch || now.mode == storeSilent {
+// finishCall delivers an answer to the caller.
+func (s *simStore) finishCall(ctx context.Context, began simStoreState, page discovery.Page) (discovery.Page, error) {
+	time.Sleep(began.answerDelay)
+	if now := s.state(); now.drops != began.drops || now.mode == storeSilent {
 		<-ctx.Done()
 	}
 	if err := ctx.Err(); err != nil {
@@ -239,7 +239,7 @@
 func (s *simStore) Decode(it feed.Item) discovery.Event {
 	e := discovery.Event{Item: it}
 	switch {
-	case it.Key == simConfig:
+	case it.Key == simConfigKey:
 		e.Config = routing.NewConfig(versionOf(it), nil, nil, routing.Limits{})
 	case it.Deleted:
 		e.RemovedLeaf = it.Key
@@ -249,8 +249,8 @@
 	return e
 }
 
-// page is the answer to a call: some entries, and where the store is.
-func (s *simStore) page(items iter.Seq[feed.Item]) discovery.Page {
+// newPage returns the answer to a call: some entries, and the position of the store.
+func (s *simStore) newPage(items iter.Seq[feed.Item]) discovery.Page {
 	p := discovery.Page{At: feed.Position{Era: s.era, Revision: s.revision}}
 	for it := range items {
 		it.At.Era = s.era
@@ -259,8 +259,8 @@
 	return p
 }
 
-// after are the changes after a revision.
-func (s *simStore) after(revision int64) iter.Seq[feed.Item] {
+// changesAfter returns the changes after a revision.
+func (s *simStore) changesAfter(revision int64) iter.Seq[feed.Item] {
 	return func(yield func(feed.Item) bool) {
 		for _, it := range s.history {
 			if it.At.Revision > revision && !yield(it) {
@@ -272,47 +272,47 @@
 
 // List implements discovery.Source.
 func (s *simStore) List(ctx context.Context, _ string) (discovery.Page, error) {
-	began, err := s.begin(ctx)
+	began, err := s.beginCall(ctx)
 	if err != nil {
 		return discovery.Page{}, err
 	}
 	s.mu.Lock()
-	page := s.page(maps.Values(s.items()))
+	page := s.newPage(maps.Values(s.items()))
 	s.mu.Unlock()
-	return s.finish(ctx, began, page)
+	return s.finishCall(ctx, began, page)
 }
 
 // Watch implements discovery.Source.
 func (s *simStore) Watch(ctx context.Context, after feed.Position, wait time.Duration) (discovery.Page, error) {
-	began, err := s.begin(ctx)
+	began, err := s.beginCall(ctx)
 	if err != nil {
 		return discovery.Page{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	over := false
+	timedOut := false
 	for {
 		s.mu.Lock()
-		now := s.storeState
-		page := s.page(s.after(after.Revision))
+		now := s.simStoreState
+		page := s.newPage(s.changesAfter(after.Revision))
 		s.mu.Unlock()
 		switch {
-		case now.epoch != began.epoch:
+		case now.drops != began.drops:
 			<-ctx.Done()
 			return discovery.Page{}, ctx.Err()
-		case now.cuts != began.cuts:
-			return discovery.Page{}, errStoreCut
-		case after.Revision < now.floor, after.Revision > now.revision:
+		case now.resets != began.resets:
+			return discovery.Page{}, errStoreReset
+		case after.Revision < now.oldestRevision, after.Revision > now.revision:
 			return page, discovery.ErrCompacted
-		case !now.deaf && len(page.Events) > 0:
-			return s.finish(ctx, began, page)
-		case over:
-			return s.finish(ctx, began, discovery.Page{At: feed.Position{Era: now.era, Revision: after.Revision}})
+		case !now.muted && len(page.Events) > 0:
+			return s.finishCall(ctx, began, page)
+		case timedOut:
+			return s.finishCall(ctx, began, discovery.Page{At: feed.Position{Era: now.era, Revision: after.Revision}})
 		}
 		select {
 		case <-now.changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return discovery.Page{}, ctx.Err()
 		}
@@ -326,40 +326,40 @@
 	stop     context.CancelFunc
 	ctx      context.Context
 	mu       sync.Mutex
-	// known is when each version was known: it, or a later one.
-	known  map[int64]time.Time
-	newest int64
-	// leafs are those that are in use.
-	leafs map[string]bool
-	wakes []chan struct{}
-	// wellSince is when it has started, or gone on after it stood still.
-	wellSince time.Time
-}
-
-// pause lets the instance stand still for some time.
-func (i *simInstance) pause(lasts time.Duration) {
+	// knownAt is when the instance knew each version or a later one.
+	knownAt       map[int64]time.Time
+	newestVersion int64
+	// leafs are the IDs of the leafs in use.
+	leafs     map[string]bool
+	listeners []chan struct{}
+	// runningSince is when the instance started, or resumed after a pause.
+	runningSince time.Time
+}
+
+// pause freezes the instance for a duration.
+func (i *simInstance) pause(duration time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.wellSince = time.Now().Add(lasts)
+	i.runningSince = time.Now().Add(duration)
 }
 
-// awake waits while the instance stands still.
-func (i *simInstance) awake() {
+// waitWhilePaused blocks while the instance is frozen.
+func (i *simInstance) waitWhilePaused() {
 	i.mu.Lock()
-	until := i.wellSince
+	until := i.runningSince
 	i.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
 // List implements discovery.Source.
 func (i *simInstance) List(ctx context.Context, next string) (discovery.Page, error) {
-	defer i.awake()
+	defer i.waitWhilePaused()
 	return i.simStore.List(ctx, next)
 }
 
 // Watch implements discovery.Source.
 func (i *simInstance) Watch(ctx context.Context, after feed.Position, wait time.Duration) (discovery.Page, error) {
-	defer i.awake()
+	defer i.waitWhilePaused()
 	return i.simStore.Watch(ctx, after, wait)
 }
 
@@ -367,10 +367,10 @@
 func (i *simInstance) ConfigUpdated(c *routing.Config, _ discovery.Origin) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for v := i.newest + 1; v <= c.Version; v++ {
-		i.known[v] = time.Now()
+	for v := i.newestVersion + 1; v <= c.Version; v++ {
+		i.knownAt[v] = time.Now()
 	}
-	i.newest = max(i.newest, c.Version)
+	i.newestVersion = max(i.newestVersion, c.Version)
 }
 
 // LeafUpdated implements discovery.Sink.
@@ -398,25 +398,25 @@
 func (*simInstance) ZoneEvacuationChanged(string, bool) {}
 func (*simInstance) StoreRecovered()                    {}
 
-// simFleet is a store and instances that follow it.
+// simFleet is a store and the instances that follow it.
 type simFleet struct {
 	store *simStore
 	set   *settings.Node
-	// sources says to which others each instance listens, and way is how long a message takes.
-	sources   [][]int
-	way       time.Duration
-	instances []*simInstance
-	ctx       context.Context
-	stop      context.CancelFunc
-	running   sync.WaitGroup
-	// cutUntil is until when no instance hears of another.
-	cutUntil time.Time
-}
-
-// newSimFleet starts instances that read the store and hear of each other as sources says: for
-// each the numbers of those that it listens to. way is how long a message takes.
-func newSimFleet(set *settings.Node, sources [][]int, way time.Duration) *simFleet {
-	f := &simFleet{store: newSimStore(), set: set, sources: sources, way: way, instances: make([]*simInstance, len(sources))}
+	// sources lists the peers that each instance listens to; messageDelay is a message's latency.
+	sources      [][]int
+	messageDelay time.Duration
+	instances    []*simInstance
+	ctx          context.Context
+	stop         context.CancelFunc
+	running      sync.WaitGroup
+	// partitionedUntil is when instances can hear of each other again.
+	partitionedUntil time.Time
+}
+
+// newSimFleet starts instances that read the store. sources lists, for each instance, the numbers
+// of those that it listens to. messageDelay is how long a message takes.
+func newSimFleet(set *settings.Node, sources [][]int, messageDelay time.Duration) *simFleet {
+	f := &simFleet{store: newSimStore(), set: set, sources: sources, messageDelay: messageDelay, instances: make([]*simInstance, len(sources))}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	for n := range sources {
 		f.start(n)
@@ -429,21 +429,21 @@
 	return f
 }
 
-// start starts an instance, which hears of no other yet.
+// start starts an instance, which does not listen to others yet.
 func (f *simFleet) start(n int) {
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 1, Burst: 1, Buffer: 1})
 	log.Close(time.Second)
-	i := &simInstance{simStore: f.store, known: map[int64]time.Time{}, leafs: map[string]bool{}, wellSince: time.Now()}
+	i := &simInstance{simStore: f.store, knownAt: map[int64]time.Time{}, leafs: map[string]bool{}, runningSince: time.Now()}
 	i.ctx, i.stop = context.WithCancel(f.ctx)
 	i.follower = discovery.NewFollower(i, i, storeOptions(f.set), log)
-	i.follower.OnChange(i.wake)
+	i.follower.OnChange(i.notifyListeners)
 	i.follower.SetReading(true, longpoll.Group{Heard: len(f.sources[n]), Place: float64(n+1) / float64(len(f.sources))})
 	f.instances[n] = i
 	f.running.Go(func() { i.follower.Run(i.ctx) })
-	f.running.Go(func() { sweepSim(i) })
+	f.running.Go(func() { runSweeps(i) })
 }
 
-// restart kills an instance and starts it anew.
+// restart kills an instance and starts it again.
 func (f *simFleet) restart(n int) {
 	f.instances[n].stop()
 	f.start(n)
@@ -456,42 +456,42 @@
 	}
 }
 
-// link lets one instance hear of another until one of them ends.
+// link makes one instance send updates to another until either ends.
 func (f *simFleet) link(from, to int) {
 	source, listener := f.instances[from], f.instances[to]
 	wake := make(chan struct{}, 1)
 	source.mu.Lock()
-	source.wakes = append(source.wakes, wake)
+	source.listeners = append(source.listeners, wake)
 	source.mu.Unlock()
 	ctx, stop := context.WithCancel(source.ctx)
 	context.AfterFunc(listener.ctx, stop)
-	f.running.Go(func() { f.feed(ctx, source, listener, wake) })
+	f.running.Go(func() { f.feedListener(ctx, source, listener, wake) })
 }
 
-// cut lets no instance hear of another for some time.
-func (f *simFleet) cut(lasts time.Duration) {
+// partition cuts off all instances from each other for a duration.
+func (f *simFleet) partition(duration time.Duration) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	f.cutUntil = time.Now().Add(lasts)
+	f.partitionedUntil = time.Now().Add(duration)
 }
 
-// isCut reports whether that holds.
-func (f *simFleet) isCut() bool {
+// partitioned reports whether the instances are cut off from each other.
+func (f *simFleet) partitioned() bool {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	return time.Now().Before(f.cutUntil)
+	return time.Now().Before(f.partitionedUntil)
 }
 
-// end stops the instances.
-func (f *simFleet) end() {
+// shutdown stops the instances and waits for them.
+func (f *simFleet) shutdown() {
 	f.stop()
 	f.running.Wait()
 }
 
-func (i *simInstance) wake() {
+func (i *simInstance) notifyListeners() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, w := range i.wakes {
+	for _, w := range i.listeners {
 		select {
 		case w <- struct{}{}:
 		default:
@@ -499,20 +499,20 @@
 	}
 }
 
-// simNewsEvery is how often an instance tells another how far it is.
-const simNewsEvery = 300 * time.Millisecond
+// simStatusInterval is how often an instance reports its position to another.
+const simStatusInterval = 300 * time.Millisecond
 
-// simTick is how often entries that are held are looked after.
+// simTick is how often held entries are checked for expiry.
 const simTick = 50 * time.Millisecond
 
-// sweepSim runs an instance's ticks until it ends.
-func sweepSim(i *simInstance) {
+// runSweeps runs an instance's ticks until it ends.
+func runSweeps(i *simInstance) {
 	ticker := time.NewTicker(simTick)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			i.awake()
+			i.waitWhilePaused()
 			i.follower.Sweep(now)
 		case <-i.ctx.Done():
 			return
@@ -520,21 +520,21 @@
 	}
 }
 
-// feed lets one instance hear of another until ctx ends.
-func (f *simFleet) feed(ctx context.Context, source, listener *simInstance, wake chan struct{}) {
+// feedListener sends updates from one instance to another until ctx ends.
+func (f *simFleet) feedListener(ctx context.Context, source, listener *simInstance, wake chan struct{}) {
 	sent := listener.follower.Position()
 	subscription := &feed.Subscription{}
-	ticker := time.NewTicker(simNewsEvery)
+	ticker := time.NewTicker(simStatusInterval)
 	defer ticker.Stop()
 	for {
 		switch {
-		case f.isCut(): // The connection is lost; the next one begins where the listener is.
+		case f.partitioned(): // The connection is lost; the next one starts at the listener's position.
 			sent = listener.follower.Position()
 			subscription.Renew(time.Now())
 		default:
-			sent = f.tell(source.follower, listener, sent, subscription)
+			sent = f.sendUpdate(source.follower, listener, sent, subscription)
 		}
-		source.awake()
+		source.waitWhilePaused()
 		select {
 		case <-wake:
 		case <-ticker.C:
@@ -544,33 +544,33 @@
 	}
 }
 
-// tell lets a listener hear once of another instance, and returns up to where that has told it.
-func (f *simFleet) tell(from *discovery.Follower, listener *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
-	confirmed, answered, page := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.Since(sent)
+// sendUpdate sends what is new to a listener and returns the position up to which it was sent.
+func (f *simFleet) sendUpdate(from *discovery.Follower, listener *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
+	confirmed, answered, update := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.Since(sent)
 	known := from.Known()
-	tells := known && page.To.After(sent)
-	if tells {
-		sent = page.To
+	sends := known && update.To.After(sent)
+	if sends {
+		sent = update.To
 	}
-	time.Sleep(f.way)
-	listener.awake()
+	time.Sleep(f.messageDelay)
+	listener.waitWhilePaused()
 	to := listener.follower
-	if tells {
-		_ = to.TakeFed(page) // What is refused is lost, as on a connection.
+	if sends {
+		_ = to.TakeFed(update) // A rejected update is lost, as on a connection.
 	}
-	contradicted := known && to.Contradicted(page.To, time.Now().Add(-confirmed))
+	contradicted := known && to.Contradicted(update.To, time.Now().Add(-confirmed))
 	switch {
-	case contradicted, subscription.Observe(page.To, to.Position(), time.Now()):
+	case contradicted, subscription.Observe(update.To, to.Position(), time.Now()):
 		subscription.Renew(time.Now())
 		return to.Position()
-	case known && page.To.Era == to.Position().Era && !page.To.After(to.Position()):
+	case known && update.To.Era == to.Position().Era && !update.To.After(to.Position()):
 		to.Proven(time.Now().Add(-confirmed))
 		to.Confirmed(time.Now().Add(-answered))
 	}
 	return sent
 }
 
-// ageOf is how old a time is as a message says it, which does not know how long it is on its way.
+// ageOf returns the age of a time as a message states it, which lacks its own time in transit.
 func ageOf(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 24 * time.Hour
@@ -578,10 +578,10 @@
 	return time.Since(at)
 }
 
-// alone are instances that do not hear of each other.
-func alone(n int) [][]int { return make([][]int, n) }
+// unconnected returns the sources of instances that do not listen to each other.
+func unconnected(n int) [][]int { return make([][]int, n) }
 
-// ring are instances that each listen to the next two.
+// ring returns the sources of instances that each listen to the next two.
 func ring(n int) [][]int {
 	out := make([][]int, n)
 	for i := range out {
@@ -592,49 +592,49 @@
 	return out
 }
 
-// knownWithin is how soon each instance is to know a configuration after the store has confirmed
-// it, or has come back, whichever is later.
-const knownWithin = 2 * time.Second
+// maxConfigDelay is how soon each instance must know a configuration after the store has
+// confirmed it or has recovered, whichever is later.
+const maxConfigDelay = 2 * time.Second
 
-// requireKnown fails where an instance knew a version later than that.
-func (f *simFleet) requireKnown(t *testing.T, what ...any) {
+// requireConfigsKnown fails if an instance knew a version later than maxConfigDelay.
+func (f *simFleet) requireConfigsKnown(t *testing.T, msg ...any) {
 	t.Helper()
-	f.requireKnownWithin(t, knownWithin, what...)
+	f.requireConfigsKnownWithin(t, maxConfigDelay, msg...)
 }
 
-// requireKnownWithin fails where an instance knew a version later than some time.
-func (f *simFleet) requireKnownWithin(t *testing.T, within time.Duration, what ...any) {
+// requireConfigsKnownWithin fails if an instance knew a version later than a limit.
+func (f *simFleet) requireConfigsKnownWithin(t *testing.T, within time.Duration, msg ...any) {
 	t.Helper()
-	for version, confirmed := range f.store.confirmed {
-		from := confirmed
+	for version, writtenAt := range f.store.writtenAt {
+		from := writtenAt
 		if f.store.disturbedUntil.After(from) {
 			from = f.store.disturbedUntil
 		}
 		for n, i := range f.instances {
 			i.mu.Lock()
-			at, known := i.known[version]
+			at, known := i.knownAt[version]
 			from := from
-			if i.wellSince.After(from) {
-				from = i.wellSince
+			if i.runningSince.After(from) {
+				from = i.runningSince
 			}
 			i.mu.Unlock()
-			require.True(t, known, "%v: instance %d of %d does not know version %d", what, n, len(f.instances), version)
-			require.LessOrEqual(t, at.Sub(from), within, "%v: instance %d of %d, version %d", what, n, len(f.instances), version)
+			require.True(t, known, "%v: instance %d of %d does not know version %d", msg, n, len(f.instances), version)
+			require.LessOrEqual(t, at.Sub(from), within, "%v: instance %d of %d, version %d", msg, n, len(f.instances), version)
 		}
 	}
 }
 
-// requireLeafs fails where an instance uses other leafs than the store lists.
-func (f *simFleet) requireLeafs(t *testing.T, what ...any) {
+// requireLeafs fails if an instance uses other leafs than the store lists.
+func (f *simFleet) requireLeafs(t *testing.T, msg ...any) {
 	t.Helper()
 	want := f.store.items()
-	delete(want, simConfig)
+	delete(want, simConfigKey)
 	for n, i := range f.instances {
-		require.ElementsMatch(t, slices.Collect(maps.Keys(want)), slices.Collect(maps.Keys(i.leafs)), "%v: instance %d of %d", what, n, len(f.instances))
+		require.ElementsMatch(t, slices.Collect(maps.Keys(want)), slices.Collect(maps.Keys(i.leafs)), "%v: instance %d of %d", msg, n, len(f.instances))
 	}
 }
 
-// simDeployments are the bounds that deployments declare.
+// simDeployments returns the bounds that deployments declare.
 func simDeployments() map[string]*settings.Node {
 	out := make(map[string]*settings.Node)
 	for name, b := range map[string]settings.NodeDeclared{
@@ -651,12 +651,12 @@
 	return out
 }
 
-// simFleets are the sizes and neighbourhoods that are simulated.
+// simFleets returns the fleets that are simulated, each with the sources of its instances.
 func simFleets() map[string][][]int {
-	return map[string][][]int{"one": alone(1), "two": ring(2), "three": ring(3), "eight": ring(8), "eight strangers": alone(8)}
+	return map[string][][]int{"one": unconnected(1), "two": ring(2), "three": ring(3), "eight": ring(8), "eight unconnected": unconnected(8)}
 }
 
-// sleepRandom sleeps for up to most.
-func sleepRandom(rng *rand.Rand, most time.Duration) {
-	time.Sleep(time.Duration(rng.Int64N(int64(most))))
+// sleepRandom sleeps for a random time below limit.
+func sleepRandom(rng *rand.Rand, limit time.Duration) {
+	time.Sleep(time.Duration(rng.Int64N(int64(limit))))
 }
