--- a/pkg/discovery/peerfeed.go
+++ b/pkg/discovery/peerfeed.go
@@ -183,8 +183,8 @@
 	return true
 }
 
-// Sweep removes what a restored store has lost and nobody has written again in time. It is called
-// on each tick.
+// Sweep removes the entries that a restored store has lost and whose writers have not written
+// them again in time. It is called on each tick.
 func (f *Follower) Sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,15 +200,15 @@
 	f.log.State("store_entries_lapsed", oplog.Fields{"entries": len(expired), "era": f.Position().Era})
 }
 
-// minContradictionDelay is how much later than the known position was learned the store must have
-// answered with a lower one to contradict it. It covers the time that messages between two
-// instances are in transit.
+// minContradictionDelay is how long after the known position was learned the store must have
+// answered with a lower one to contradict it. Shorter differences are not significant, because
+// times that peers report are off by the time that their messages are in transit.
 const minContradictionDelay = time.Second
 
-// Contradicted compares the known position with that of the store when it answered a peer at a
-// time. If the known position cannot be right, it discards what is known and returns true.
-// Otherwise a peer that claimed a position which the store never had would keep this instance
-// from seeing any later change.
+// Contradicted compares the known position with the position of the store in an answer that a
+// peer got at a time. If the known position cannot be right, it discards what is known and returns
+// true. Without this check, a peer that claimed a position which the store never had would keep
+// this instance from seeing any later change.
 func (f *Follower) Contradicted(store feed.Position, at time.Time) bool {
 	f.mu.Lock()
 	known, raisedAt := f.cache.Position(), f.positionRaisedAt
--- a/pkg/feed/cache.go
+++ b/pkg/feed/cache.go
@@ -184,7 +184,7 @@
 func (c *Cache) deleteMissing(u Update) []Item {
 	listed := make(map[string]bool, len(u.Items))
 	for _, it := range u.Items {
-		listed[it.Key] = it.At.Era == u.To.Era // An entry that the sender holds is not in the store.
+		listed[it.Key] = it.At.Era == u.To.Era // Entries that the sender merely holds are lost.
 	}
 	var out []Item
 	for key, it := range c.items {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -228,8 +228,8 @@
 	t.Logf("kill detected after %v, leave after %v, restarts after %v", killedTook, leftTook, backTook)
 }
 
-// A frozen member resumes with its old view. Within seconds it is in use again everywhere, and it
-// has falsely suspected nobody.
+// A frozen member resumes with its old view. Within seconds it is in use again everywhere, and no
+// other member has suspected a running one.
 func TestFrozenMemberRecovers(t *testing.T) {
 	s := newSim(t, 12, 0, 1, 2)
 	s.runUntil(10*time.Second, func() bool { return s.converged(11) })
