--- a/pkg/cli/evacuate_test.go
+++ b/pkg/cli/evacuate_test.go
@@ -27,9 +27,9 @@
 	zone := c.Layout.Backends[0].Zone
 	require.NoError(t, run(zone))
 	require.NoError(t, c.WaitVersion(2, 5*time.Second))
-	require.Equal(t, []string{zone}, c.Platform.Current().Evacuated)
+	require.Equal(t, []string{zone}, c.Platform.Current().EvacuatedZones)
 	require.Error(t, run("no-such-zone"))
 	require.NoError(t, run(zone, "--readmit"))
 	require.NoError(t, c.WaitVersion(3, 5*time.Second))
-	require.Empty(t, c.Platform.Current().Evacuated)
+	require.Empty(t, c.Platform.Current().EvacuatedZones)
 }
--- a/pkg/cli/ops.go
+++ b/pkg/cli/ops.go
@@ -56,7 +56,7 @@
 // submit sends a patch to the configuration service and prints what became of it.
 func submit(cmd *cobra.Command, c *service.Client, addr string, p topology.Patch) error {
 	var res wire.PatchResult
-	_, err := c.Do(context.Background(), "POST", "http://"+addr+wire.PathPatch, nil, p, &res, time.Now().Add(opTimeout))
+	_, err := c.Do(context.Background(), "POST", "http://"+addr+wire.PathConfigPatch, nil, p, &res, time.Now().Add(opTimeout))
 	if err != nil {
 		return err
 	}
--- a/pkg/cli/standins.go
+++ b/pkg/cli/standins.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	return func(inst wire.Instance) {
-		_, _ = c.Do(context.Background(), "POST", "http://"+addr+wire.PathReport, nil, inst, nil, time.Now().Add(time.Second))
+		_, _ = c.Do(context.Background(), "POST", "http://"+addr+wire.PathInstanceReport, nil, inst, nil, time.Now().Add(time.Second))
 	}
 }
 
--- a/pkg/configwatch/watch.go
+++ b/pkg/configwatch/watch.go
@@ -109,18 +109,18 @@
 			w.failed.Inc()
 			return false, err
 		}
-		return cfg != nil && w.Offer(cfg), nil
+		return cfg != nil && w.ApplyIfNewer(cfg), nil
 	})
 }
 
-// Offer puts cfg in force if it is newer than the one in force, and reports
+// ApplyIfNewer puts cfg in force if it is newer than the one in force, and reports
 // whether it did. A stale replica of the configuration service, or one
 // restored from an old state, answers with an older version; putting that
 // in force would revert an accepted change, so versions only go forward
 // and older ones are counted in config_versions_ignored_total. The watch and
 // Refresh may offer at the same moment; without the lock both could pass the
 // comparison and the older one be stored last.
-func (w *Watcher) Offer(cfg *topology.Config) bool {
+func (w *Watcher) ApplyIfNewer(cfg *topology.Config) bool {
 	w.offering.Lock()
 	defer w.offering.Unlock()
 	old := w.current.Load()
@@ -143,7 +143,7 @@
 func (w *Watcher) Refresh(ctx context.Context) error {
 	cfg, err := w.watch(ctx, w.Version(), longpoll.Call{Wait: pace.ProbeWait, Timeout: pace.RetryTimeout})
 	if err == nil && cfg != nil {
-		w.Offer(cfg)
+		w.ApplyIfNewer(cfg)
 	}
 	return err
 }
@@ -151,7 +151,7 @@
 // watch long-polls for a version newer than after; a nil configuration with no
 // error means the watch ended with nothing newer.
 func (w *Watcher) watch(ctx context.Context, after int64, c longpoll.Call) (*topology.Config, error) {
-	url := fmt.Sprintf("http://%s%s?after=%d&timeout_ms=%d&zone=%s", w.addr, wire.PathWatch, after, c.Wait.Milliseconds(), w.zone)
+	url := fmt.Sprintf("http://%s%s?after=%d&timeout_ms=%d&zone=%s", w.addr, wire.PathConfigWatch, after, c.Wait.Milliseconds(), w.zone)
 	end := time.Now().Add(c.Wait + c.Timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(end) {
 		end = d
--- a/pkg/configwatch/watch_test.go
+++ b/pkg/configwatch/watch_test.go
@@ -48,7 +48,7 @@
 	c, err := service.NewClient(1, time.Second)
 	require.NoError(t, err)
 	var reply wire.ConfigReply
-	url := "http://" + p.Addr() + wire.PathWatch + "?after=1"
+	url := "http://" + p.Addr() + wire.PathConfigWatch + "?after=1"
 	_, err = c.Do(context.Background(), "GET", url, nil, nil, &reply, time.Now().Add(time.Second))
 	require.NoError(t, err)
 	require.True(t, reply.Config == nil, "an idle watch sent the whole configuration")
@@ -90,7 +90,7 @@
 	c, err := service.NewClient(1, time.Second)
 	require.NoError(t, err)
 	var raw json.RawMessage
-	_, err = c.Do(context.Background(), "GET", "http://"+p.Addr()+wire.PathWatch+"?after=1", nil, nil, &raw, time.Now().Add(time.Second))
+	_, err = c.Do(context.Background(), "GET", "http://"+p.Addr()+wire.PathConfigWatch+"?after=1", nil, nil, &raw, time.Now().Add(time.Second))
 	require.NoError(t, err)
 	t.Logf("a one-op change: %d bytes", len(raw))
 	require.Less(t, len(raw), 1024, "a one-op change cost %d bytes", len(raw))
@@ -120,11 +120,11 @@
 	refreshed := func(from *topology.Config) *Watcher {
 		w, err := NewWatcher(restored.Addr(), "z", metrics.NewSet(), logrus.NewEntry(logrus.New()))
 		require.NoError(t, err)
-		require.True(t, w.Offer(from))
+		require.True(t, w.ApplyIfNewer(from))
 		require.NoError(t, w.Refresh(context.Background()))
 		require.EqualValues(t, 3, w.Version())
 		return w
 	}
-	require.Empty(t, refreshed(before.Current()).Current().Evacuated, "the restored service has no such order")
+	require.Empty(t, refreshed(before.Current()).Current().EvacuatedZones, "the restored service has no such order")
 	require.EqualValues(t, 1, refreshed(standIn(t, 50).Current()).patchedCount.Get(), "patches are applied where they fit")
 }
--- a/pkg/demo/config_test.go
+++ b/pkg/demo/config_test.go
@@ -55,7 +55,7 @@
 			c, _ := service.NewClient(2, time.Second)
 			p := topology.Patch{BaseVersion: 1, Ops: []topology.Op{{Kind: topology.OpSetSnapshot, Deployment: dep, Index: "viewer-api", Snapshot: snap}}}
 			var r wire.PatchResult
-			_, _ = c.Do(context.Background(), "POST", "http://"+s.c.Platform.Addr()+wire.PathPatch, nil, p, &r, time.Now().Add(time.Second))
+			_, _ = c.Do(context.Background(), "POST", "http://"+s.c.Platform.Addr()+wire.PathConfigPatch, nil, p, &r, time.Now().Add(time.Second))
 			results <- r
 		}()
 	}
--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -61,7 +61,7 @@
 		},
 		clients: []topology.ClientApp{
 			{ID: "cad-viewer", Key: "cad-viewer-key", Indexes: []string{"viewer-api", "archive-svc"}},
-			{ID: "bom-panel", Key: "bom-panel-key", Indexes: []string{"viewer-api"}, Holds: true},
+			{ID: "bom-panel", Key: "bom-panel-key", Indexes: []string{"viewer-api"}, MayHold: true},
 		},
 	},
 	Lakeshore: {
@@ -73,7 +73,7 @@
 			{name: "funder-reports", shards: 2, dataset: settings.DatasetBeds},
 		},
 		clients: []topology.ClientApp{
-			{ID: "outreach-van", Key: "outreach-van-key", Indexes: []string{"shelter-console"}, Holds: true},
+			{ID: "outreach-van", Key: "outreach-van-key", Indexes: []string{"shelter-console"}, MayHold: true},
 			{ID: "crisis-line", Key: "crisis-line-key", Indexes: []string{"shelter-console", "funder-reports"}},
 		},
 	},
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -177,15 +177,15 @@
 // State is the dump served at /debug/state.
 func (e *Entry) State() any {
 	return State{
-		Name:          e.set.Name,
-		Zone:          e.set.Zone,
-		Lifecycle:     [...]string{"serving", "leaving", "stopping"}[e.state.Load()],
-		Settling:      e.pause.check(),
-		ConfigVersion: e.watcher.Version(),
-		InFlight:      e.gateway.InFlight(),
-		Backends:      e.table.Dump(time.Now()),
-		Evacuated:     e.table.EvacuatedZones(),
-		Quarantine:    e.gateway.Quarantine().Dump(time.Now()),
+		Name:           e.set.Name,
+		Zone:           e.set.Zone,
+		Lifecycle:      [...]string{"serving", "leaving", "stopping"}[e.state.Load()],
+		Settling:       e.pause.check(),
+		ConfigVersion:  e.watcher.Version(),
+		InFlight:       e.gateway.InFlight(),
+		Backends:       e.table.Dump(time.Now()),
+		EvacuatedZones: e.table.EvacuatedZones(),
+		Quarantine:     e.gateway.Quarantine().Dump(time.Now()),
 	}
 }
 
@@ -198,8 +198,8 @@
 	ConfigVersion int64               `json:"config_version"`
 	InFlight      int64               `json:"in_flight"`
 	Backends      []replica.LeafState `json:"backends"`
-	// Evacuated are the availability zones whose backend servers are to get nothing.
-	Evacuated []string `json:"evacuated"`
+	// EvacuatedZones are the availability zones whose backend servers are to get nothing.
+	EvacuatedZones []string `json:"evacuated"`
 	// Quarantine lists the requests that are suspected of ending backend servers, or known to.
 	Quarantine []quarantine.State `json:"quarantine"`
 }
--- a/pkg/entry/handlers.go
+++ b/pkg/entry/handlers.go
@@ -142,7 +142,7 @@
 	if !ok {
 		return nil, ptr(e.refusal(id, errcode.UnknownIndex, index))
 	}
-	if !app.May(index) || (holds && !app.Holds) {
+	if !app.MayAccess(index) || (holds && !app.MayHold) {
 		return nil, ptr(e.refusal(id, errcode.NotAuthorised, index))
 	}
 	timeout, code := e.timeout(timeoutMs)
--- a/pkg/entry/leafs.go
+++ b/pkg/entry/leafs.go
@@ -73,7 +73,7 @@
 	}
 	reply := gateway.LeafReply{Outcome: outcomeOf(resp.Code), Status: int(resp.Code), Content: &resp}
 	if l := resp.Load; l != nil {
-		load := replica.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Slowdown: l.Pace}
+		load := replica.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Slowdown: l.Slowdown}
 		if reply.LoadErr = load.Validate(); reply.LoadErr == nil {
 			reply.Load = &load
 		}
@@ -156,7 +156,7 @@
 	l.stats.cancels.Inc()
 	msg := wire.CancelRequest{RequestID: req.RequestID, Shards: []string{req.Shard}}
 	end, _ := ctx.Deadline()
-	if _, err := l.client.Do(ctx, http.MethodPost, "http://"+leaf.Addr+wire.PathCancel, nil, msg, nil, end); err != nil {
+	if _, err := l.client.Do(ctx, http.MethodPost, "http://"+leaf.Addr+wire.PathLeafCancel, nil, msg, nil, end); err != nil {
 		l.stats.cancelsFailed.Inc()
 	}
 }
--- a/pkg/entry/plan.go
+++ b/pkg/entry/plan.go
@@ -109,8 +109,8 @@
 			e.table.Remove(name, now)
 		}
 	}
-	e.gateway.ReadmitExcept(func(zone string) bool { return slices.Contains(cfg.Evacuated, zone) })
-	for _, zone := range cfg.Evacuated {
+	e.gateway.ReadmitExcept(func(zone string) bool { return slices.Contains(cfg.EvacuatedZones, zone) })
+	for _, zone := range cfg.EvacuatedZones {
 		e.gateway.SetEvacuated(zone, true)
 	}
 	e.plan.Store(p)
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -43,13 +43,13 @@
 	codeFailed   quic.ApplicationErrorCode = 1
 )
 
-// Source is where a relay takes from and gives to: the configuration watch.
-type Source interface {
+// ConfigStore is where a relay takes from and gives to: the configuration watch.
+type ConfigStore interface {
 	// Current is the configuration in force, nil before the first.
 	Current() *topology.Config
-	// Offer puts a configuration in force if it is newer, and reports
+	// ApplyIfNewer puts a configuration in force if it is newer, and reports
 	// whether it did.
-	Offer(*topology.Config) bool
+	ApplyIfNewer(*topology.Config) bool
 }
 
 // Options are a relay's settings. Listen is host:port (UDP); Peers are the
@@ -65,7 +65,7 @@
 // Relay answers its peers and asks them.
 type Relay struct {
 	interval time.Duration
-	source   Source
+	source   ConfigStore
 	// quarantine knows the requests that end leafs.
 	quarantine *quarantine.Table
 	log        *logrus.Entry
@@ -84,7 +84,7 @@
 }
 
 // New binds the relay's address.
-func New(o Options, src Source, held *quarantine.Table, set *metrics.Set, log *logrus.Entry) (*Relay, error) {
+func New(o Options, src ConfigStore, held *quarantine.Table, set *metrics.Set, log *logrus.Entry) (*Relay, error) {
 	tlsConf, err := tlsConfig(o.Secret)
 	if err != nil {
 		return nil, err
@@ -218,7 +218,7 @@
 		r.dialer.drop(addr)
 		return
 	}
-	if cfg != nil && cfg.Validate() == nil && r.source.Offer(cfg) {
+	if cfg != nil && cfg.Validate() == nil && r.source.ApplyIfNewer(cfg) {
 		r.taken.Inc()
 		r.log.WithField("peer", addr).WithField("version", cfg.Version).Info("configuration taken from a peer")
 	}
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -33,7 +33,7 @@
 	return s.cfg
 }
 
-func (s *store) Offer(c *topology.Config) bool {
+func (s *store) ApplyIfNewer(c *topology.Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cfg != nil && c.Version <= s.cfg.Version {
--- a/pkg/standin/backend/server.go
+++ b/pkg/standin/backend/server.go
@@ -121,7 +121,7 @@
 	b.metrics.NewGauge("backend_conns_open", func() float64 { return float64(b.ln.open.Load()) })
 	b.metrics.NewGauge("backend_conns_refused", func() float64 { return float64(b.ln.refused.Load()) })
 	srv.H.POST(wire.PathLeaf, b.handleLeaf)
-	srv.H.POST(wire.PathCancel, b.handleCancel)
+	srv.H.POST(wire.PathLeafCancel, b.handleCancel)
 	srv.H.POST(PathControl, b.handleControl)
 	srv.H.GET(service.PathHealth, b.handleHealth)
 	return b, nil
--- a/pkg/standin/configservice/server.go
+++ b/pkg/standin/configservice/server.go
@@ -105,11 +105,11 @@
 func (p *Server) routes() {
 	h := p.srv.H
 	h.GET(wire.PathConfig, p.handleRead)
-	h.GET(wire.PathWatch, p.handleWatch)
-	h.POST(wire.PathPatch, p.handlePatch)
+	h.GET(wire.PathConfigWatch, p.handleWatch)
+	h.POST(wire.PathConfigPatch, p.handlePatch)
 	h.GET(wire.PathInstances, p.handleInstances)
 	h.GET(wire.PathInstanceWatch, p.handleInstanceWatch)
-	h.POST(wire.PathReport, p.handleReport)
+	h.POST(wire.PathInstanceReport, p.handleReport)
 	h.POST(PathControl, p.handleControl)
 }
 
--- a/pkg/topology/patch.go
+++ b/pkg/topology/patch.go
@@ -84,7 +84,7 @@
 	switch op.Kind {
 	case OpEvacuate:
 		c.readmit(op.Zone)
-		c.Evacuated = append(c.Evacuated, op.Zone)
+		c.EvacuatedZones = append(c.EvacuatedZones, op.Zone)
 		return nil
 	case OpReadmit:
 		c.readmit(op.Zone)
@@ -127,7 +127,7 @@
 
 // readmit takes an availability zone off the evacuated ones.
 func (c *Config) readmit(zone string) {
-	c.Evacuated = slices.DeleteFunc(c.Evacuated, func(z string) bool { return z == zone })
+	c.EvacuatedZones = slices.DeleteFunc(c.EvacuatedZones, func(z string) bool { return z == zone })
 }
 
 func (d *Deployment) removeClient(id string) {
--- a/pkg/topology/topology.go
+++ b/pkg/topology/topology.go
@@ -18,8 +18,8 @@
 	Version     int64           `json:"version" yaml:"version"`
 	Deployments []Deployment    `json:"deployments" yaml:"deployments"`
 	Backends    []BackendServer `json:"backends" yaml:"backends"`
-	// Evacuated are availability zones whose backend servers are to get no new requests.
-	Evacuated []string `json:"evacuated,omitempty" yaml:"evacuated,omitempty"`
+	// EvacuatedZones are availability zones whose backend servers are to get no new requests.
+	EvacuatedZones []string `json:"evacuated,omitempty" yaml:"evacuated,omitempty"`
 }
 
 // Deployment is a brand deployment: one storefront's indexes and the client
@@ -61,7 +61,7 @@
 	ID      string   `json:"id" yaml:"id"`
 	Key     string   `json:"key" yaml:"key"`
 	Indexes []string `json:"indexes" yaml:"indexes"`
-	Holds   bool     `json:"holds" yaml:"holds"`
+	MayHold bool     `json:"holds" yaml:"holds"`
 }
 
 // BackendServer is one backend server (a unit) in an availability zone.
@@ -109,8 +109,8 @@
 	return find(ix.Shards, func(s *Shard) string { return s.ID }, id)
 }
 
-// May reports whether the client application may search the index.
-func (a *ClientApp) May(index string) bool { return slices.Contains(a.Indexes, index) }
+// MayAccess reports whether the client application may search the index.
+func (a *ClientApp) MayAccess(index string) bool { return slices.Contains(a.Indexes, index) }
 
 // Validate checks that names are unique and every leaf names a known backend
 // server. It returns an error carrying errcode.PatchInvalid.
@@ -125,7 +125,7 @@
 		}
 		backends[b.Name] = true
 	}
-	for _, zone := range c.Evacuated {
+	for _, zone := range c.EvacuatedZones {
 		if !slices.Contains(c.Zones(), zone) {
 			return errcode.New(errcode.PatchInvalid, "evacuated zone %q has no backend server", zone)
 		}
--- a/pkg/wire/paths.go
+++ b/pkg/wire/paths.go
@@ -3,11 +3,11 @@
 // Paths of the configuration service and of the instance list, as the project's
 // stand-in serves them.
 const (
-	PathConfig    = "/v1/config"
-	PathWatch     = "/v1/config/watch"
-	PathPatch     = "/v1/config/patch"
-	PathInstances = "/v1/instances"
-	PathReport    = "/v1/instances/report"
+	PathConfig         = "/v1/config"
+	PathConfigWatch    = "/v1/config/watch"
+	PathConfigPatch    = "/v1/config/patch"
+	PathInstances      = "/v1/instances"
+	PathInstanceReport = "/v1/instances/report"
 	// PathInstanceWatch long-polls the instance list for rows changed since a
 	// version.
 	PathInstanceWatch = "/v1/instances/watch"
@@ -15,6 +15,6 @@
 
 // Paths of a backend server.
 const (
-	PathLeaf   = "/v1/leaf"
-	PathCancel = "/v1/leaf/cancel"
+	PathLeaf       = "/v1/leaf"
+	PathLeafCancel = "/v1/leaf/cancel"
 )
--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -124,10 +124,10 @@
 // Load is a backend server's load: its requests of all callers, and how many run at once. Pace is
 // how long work takes there now, in multiples of the usual time; 0: not said.
 type Load struct {
-	Running int     `json:"running"`
-	Waiting int     `json:"waiting"`
-	Slots   int     `json:"slots"`
-	Pace    float64 `json:"pace,omitempty"`
+	Running  int     `json:"running"`
+	Waiting  int     `json:"waiting"`
+	Slots    int     `json:"slots"`
+	Slowdown float64 `json:"pace,omitempty"`
 }
 
 // CancelRequest tells a backend server that the replies of one search for
