--- a/pkg/entry/handlers.go
+++ b/pkg/entry/handlers.go
@@ -26,104 +26,110 @@
 }
 
 func (e *Entry) handleHealth(_ context.Context, c *app.RequestContext) {
-	h := wire.Health{Name: e.set.Name, State: "live", InFlight: e.gateway.InFlight()}
+	h := wire.Health{Name: e.settings.Name, State: "live", InFlight: e.gateway.InFlight()}
 	status := 200
-	if e.state.Load() != stateServing || e.pause.check() {
+	if e.state.Load() != stateServing || e.pauseDetector.isSettling() {
 		h.State, status = "leaving", 503
 	}
 	c.JSON(status, h)
 }
 
-// call is what every request shares once admitted: its ID, the index of the
-// pinned configuration and how long it may take.
-type call struct {
-	id      string
-	plan    *plan
-	index   *topology.Index
-	name    string
-	arrived time.Time
-	timeout time.Duration
+// admittedRequest holds what is known of every request once it is admitted.
+type admittedRequest struct {
+	id string
+	// plan is the routing plan of the configuration that is pinned for the
+	// request, and index the index in that configuration.
+	plan  *routingPlan
+	index *topology.Index
+	// indexKey identifies the index among all deployments; see indexKey.
+	indexKey string
+	arrived  time.Time
+	timeout  time.Duration
 }
 
-// run completes what a call asks of the leafs and runs it on a route.
-func (e *Entry) run(ctx context.Context, cl *call, route *routing.Route, message wire.LeafRequest) gateway.Answer {
-	message.RequestID = cl.id
-	message.Index = cl.index.Name
-	message.Snapshot = cl.index.Snapshot
-	message.FromZone = e.set.Zone
+// run completes the leaf message of a request and runs the request on a route.
+func (e *Entry) run(ctx context.Context, ar *admittedRequest, route *routing.Route, message wire.LeafRequest) gateway.Answer {
+	message.RequestID = ar.id
+	message.Index = ar.index.Name
+	message.Snapshot = ar.index.Snapshot
+	message.FromZone = e.settings.Zone
 	return e.gateway.Serve(ctx, &gateway.Request{
-		ID: cl.id, Key: contentKey(cl.name, &message), Arrived: cl.arrived, Timeout: cl.timeout,
-		Content: &leafWork{message: message, plan: cl.plan},
+		ID: ar.id, Key: contentKey(ar.indexKey, &message), Arrived: ar.arrived, Timeout: ar.timeout,
+		Content: &leafRequestTemplate{request: message, plan: ar.plan},
 	}, route)
 }
 
-// contentKey names what a request asks of the leafs of an index.
+// contentKey returns the quarantine key of a request to an index. Requests that ask
+// the same of the leafs have the same key.
 func contentKey(index string, m *wire.LeafRequest) quarantine.Key {
 	return quarantine.KeyOf(index, string(m.Kind), m.Text, strconv.Itoa(m.Limit), m.Item, m.IdempotencyKey)
 }
 
-// overloaded answers a call that was one too many in flight.
-func (e *Entry) overloaded(cl *call) wire.Answer {
-	e.stats.shed.Inc()
-	return e.refusal(cl.id, errcode.EntryOverloaded, "too many requests in flight")
+// refuseOverloaded returns the answer to a request that exceeds the limit of
+// requests in flight.
+func (e *Entry) refuseOverloaded(ar *admittedRequest) wire.Answer {
+	e.stats.shedRequests.Inc()
+	return e.refusal(ar.id, errcode.EntryOverloaded, "too many requests in flight")
 }
 
-// quarantined answers a call that is kept from the backend servers.
-func (e *Entry) quarantined(cl *call, a *gateway.Answer) wire.Answer {
-	answer := e.refusal(cl.id, a.Code, a.Code.Name())
+// refuseQuarantined returns the answer to a request that is quarantined and therefore
+// not sent to backend servers.
+func (e *Entry) refuseQuarantined(ar *admittedRequest, a *gateway.Answer) wire.Answer {
+	answer := e.refusal(ar.id, a.Code, a.Code.Name())
 	answer.RetryAfterMs = int(a.RetryAfter.Milliseconds())
 	return answer
 }
 
 func (e *Entry) handleSearch(ctx context.Context, c *app.RequestContext) {
-	defer e.stats.latency.UpdateDuration(time.Now())
+	defer e.stats.answerLatency.UpdateDuration(time.Now())
 	var req wire.SearchRequest
 	if err := service.DecodeBody(c, &req); err != nil {
-		e.reply(c, PathSearch, e.refusal("", errcode.BadRequest, err.Error()))
+		e.writeAnswer(c, PathSearch, e.refusal("", errcode.BadRequest, err.Error()))
 		return
 	}
-	cl, ans := e.admit(ctx, c, req.Deployment, req.Index, req.TimeoutMs, false)
-	if ans != nil {
-		e.reply(c, PathSearch, *ans)
+	ar, refusal := e.admit(ctx, c, req.Deployment, req.Index, req.TimeoutMs, false)
+	if refusal != nil {
+		e.writeAnswer(c, PathSearch, *refusal)
 		return
 	}
-	e.reply(c, PathSearch, e.search(ctx, cl, req))
+	e.writeAnswer(c, PathSearch, e.search(ctx, ar, req))
 }
 
 func (e *Entry) handleHold(ctx context.Context, c *app.RequestContext) {
-	defer e.stats.latency.UpdateDuration(time.Now())
+	defer e.stats.answerLatency.UpdateDuration(time.Now())
 	var req wire.HoldRequest
 	if err := service.DecodeBody(c, &req); err != nil {
-		e.reply(c, PathHold, e.refusal("", errcode.BadRequest, err.Error()))
+		e.writeAnswer(c, PathHold, e.refusal("", errcode.BadRequest, err.Error()))
 		return
 	}
 	if k := string(c.GetHeader(wire.HeaderIdempotencyKey)); k != "" {
 		req.IdempotencyKey = k
 	}
 	if req.IdempotencyKey == "" {
-		e.reply(c, PathHold, e.refusal("", errcode.MissingIdempotencyKey, "send an Idempotency-Key"))
+		e.writeAnswer(c, PathHold, e.refusal("", errcode.MissingIdempotencyKey, "send an Idempotency-Key"))
 		return
 	}
-	cl, ans := e.admit(ctx, c, req.Deployment, req.Index, req.TimeoutMs, true)
-	if ans != nil {
-		e.reply(c, PathHold, *ans)
+	ar, refusal := e.admit(ctx, c, req.Deployment, req.Index, req.TimeoutMs, true)
+	if refusal != nil {
+		e.writeAnswer(c, PathHold, *refusal)
 		return
 	}
-	e.reply(c, PathHold, e.hold(ctx, cl, req))
+	e.writeAnswer(c, PathHold, e.hold(ctx, ar, req))
 }
 
-// admit authenticates the client application and checks that the request
-// can run here; on refusal it returns the final answer, which is "not run".
-func (e *Entry) admit(ctx context.Context, c *app.RequestContext, deployment, index string, timeoutMs int, holds bool) (*call, *wire.Answer) {
-	id := e.newID()
+// admit authenticates the client application and checks that this instance can run
+// the request. If not, it returns the final answer, whose code says that the request
+// did not run.
+func (e *Entry) admit(ctx context.Context, c *app.RequestContext, deployment, index string, timeoutMs int, isHold bool) (*admittedRequest, *wire.Answer) {
+	id := e.newRequestID()
 	if e.state.Load() == stateStopping {
 		return nil, ptr(e.refusal(id, errcode.EntryDraining, "entry instance is stopping"))
 	}
-	if e.pause.check() {
+	if e.pauseDetector.isSettling() {
 		return nil, ptr(e.refusal(id, errcode.EntrySettling, errcode.EntrySettling.Name()))
 	}
 	if service.CallerGone(ctx) {
-		e.stats.callersLeft.Inc()
+		e.stats.callerDisconnects.Inc()
 		return nil, ptr(e.refusal(id, errcode.CallerDisconnected, errcode.CallerDisconnected.Name()))
 	}
 	p := e.plan.Load()
@@ -142,48 +148,51 @@
 	if !ok {
 		return nil, ptr(e.refusal(id, errcode.UnknownIndex, index))
 	}
-	if !app.MayAccess(index) || (holds && !app.MayHold) {
+	if !app.MayAccess(index) || (isHold && !app.MayHold) {
 		return nil, ptr(e.refusal(id, errcode.NotAuthorised, index))
 	}
-	timeout, code := e.timeout(timeoutMs)
+	timeout, code := e.effectiveTimeout(timeoutMs)
 	if code != errcode.OK {
 		return nil, ptr(e.refusal(id, code, "timeout_ms below the minimum"))
 	}
-	return &call{id: id, plan: p, index: ix, name: indexName(deployment, index), arrived: time.Now(), timeout: timeout}, nil
+	return &admittedRequest{id: id, plan: p, index: ix, indexKey: indexKey(deployment, index), arrived: time.Now(), timeout: timeout}, nil
 }
 
-func (e *Entry) timeout(ms int) (time.Duration, errcode.Code) {
+// effectiveTimeout applies the default (for 0 ms), the minimum and the maximum to the
+// timeout that a caller requested.
+func (e *Entry) effectiveTimeout(ms int) (time.Duration, errcode.Code) {
 	switch {
 	case ms == 0:
-		return settings.Duration(e.set.DefaultTimeoutMs), errcode.OK
-	case ms < e.set.MinTimeoutMs:
+		return settings.Duration(e.settings.DefaultTimeoutMs), errcode.OK
+	case ms < e.settings.MinTimeoutMs:
 		return 0, errcode.DeadlineTooShort
 	}
-	return settings.Duration(min(ms, e.set.MaxTimeoutMs)), errcode.OK
+	return settings.Duration(min(ms, e.settings.MaxTimeoutMs)), errcode.OK
 }
 
-// refusal builds the final answer for a request that did not run. Codes
-// that are about load or lifecycle carry a hint of when to come back.
+// refusal returns the final answer to a request that did not run. Codes that are
+// about load or lifecycle carry a retry hint.
 func (e *Entry) refusal(id string, code errcode.Code, msg string) wire.Answer {
 	a := wire.Answer{RequestID: id, Code: code, Message: msg}
 	switch code {
 	case errcode.EntryOverloaded, errcode.EntryDraining, errcode.NoConfiguration, errcode.EntrySettling:
-		a.RetryAfterMs = e.set.RetryAfterMs
+		a.RetryAfterMs = e.settings.RetryAfterMs
 	}
 	return a
 }
 
-func (e *Entry) reply(c *app.RequestContext, path string, a wire.Answer) {
+// writeAnswer writes an answer to the caller and counts it.
+func (e *Entry) writeAnswer(c *app.RequestContext, path string, a wire.Answer) {
 	code := a.Code
-	e.stats.answered(path, code)
+	e.stats.countAnswer(path, code)
 	if a.RetryAfterMs > 0 {
 		c.Header(wire.HeaderRetryAfter, strconv.Itoa((a.RetryAfterMs+999)/1000))
 	}
 	c.JSON(code.HTTPStatus(), a)
 }
 
-func (e *Entry) newID() string {
-	return fmt.Sprintf("%s-%d", e.set.Name, e.seq.Add(1))
+func (e *Entry) newRequestID() string {
+	return fmt.Sprintf("%s-%d", e.settings.Name, e.seq.Add(1))
 }
 
 func ptr[T any](v T) *T { return &v }
--- a/pkg/entry/hold.go
+++ b/pkg/entry/hold.go
@@ -9,40 +9,42 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// hold sends a not-repeatable request to the shard's primary leaf only. It
-// is never hedged and never moved to another replica: each replica keeps its
-// own record of idempotency keys, so a retry that reached a second replica
-// would run again there (a bed promised twice). When the primary cannot be
-// reached the answer is "not run" with a retry hint. Any failure after
-// sending answers OutcomeUnknown, and the caller may ask again with the same
-// key, which the primary answers from its record without running it twice.
-func (e *Entry) hold(ctx context.Context, cl *call, req wire.HoldRequest) wire.Answer {
-	route, ok := cl.plan.holds[shardService(cl.name, req.Shard)]
+// hold sends a not-repeatable request to the shard's primary leaf only. The request
+// is never hedged and never retried at another replica: each replica keeps its own
+// record of idempotency keys, so a retry that reached a second replica would run
+// again there (the same bed would be promised twice). If the primary cannot be
+// reached, the answer says that the request did not run and carries a retry hint.
+// After any failure once the request was sent, the answer is OutcomeUnknown; the
+// caller may then retry with the same key, and the primary answers from its record
+// without running the request twice.
+func (e *Entry) hold(ctx context.Context, ar *admittedRequest, req wire.HoldRequest) wire.Answer {
+	route, ok := ar.plan.holdRoutes[shardService(ar.indexKey, req.Shard)]
 	if !ok {
-		return e.refusal(cl.id, errcode.UnknownShard, req.Shard)
+		return e.refusal(ar.id, errcode.UnknownShard, req.Shard)
 	}
-	// A caller that leaves does not end its hold: it may ask again with the
-	// same key, and the outcome has to be on the primary's record by then.
+	// A hold goes on after its caller disconnects: the caller may retry with the
+	// same key, and by then the primary must have recorded the outcome.
 	ctx = context.WithoutCancel(ctx)
 	message := wire.LeafRequest{Kind: wire.LeafHold, Item: req.Item, IdempotencyKey: req.IdempotencyKey}
-	a := e.run(ctx, cl, route, message)
+	a := e.run(ctx, ar, route, message)
 	switch {
 	case a.Code == errcode.EntryOverloaded:
-		return e.overloaded(cl)
+		return e.refuseOverloaded(ar)
 	case a.Code == errcode.Quarantined:
-		return e.quarantined(cl, &a)
+		return e.refuseQuarantined(ar, &a)
 	case a.Relayed != nil && a.Relayed.Outcome == replica.Answered:
-		return held(cl, req.Shard, a.Relayed.Content.(*wire.LeafResponse))
+		return recordedHoldAnswer(ar, req.Shard, a.Relayed.Content.(*wire.LeafResponse))
 	case a.Code == errcode.ShardsUnavailable:
-		return e.notHeld(cl, req.Shard, a.LastFailure)
+		return e.notRunHoldAnswer(ar, req.Shard, a.LastFailure)
 	}
-	return e.holdUnknown(cl, req.Shard, &a)
+	return e.unknownHoldAnswer(ar, req.Shard, &a)
 }
 
-// held answers a hold that the primary has on its record.
-func held(cl *call, shard string, resp *wire.LeafResponse) wire.Answer {
+// recordedHoldAnswer returns the answer to a hold whose outcome the primary has
+// recorded.
+func recordedHoldAnswer(ar *admittedRequest, shard string, resp *wire.LeafResponse) wire.Answer {
 	a := wire.Answer{
-		RequestID: cl.id, Code: errcode.OK, Message: resp.Message, Snapshot: cl.index.Snapshot,
+		RequestID: ar.id, Code: errcode.OK, Message: resp.Message, Snapshot: ar.index.Snapshot,
 		Covered: []string{shard}, Held: resp.Held,
 	}
 	if resp.Held != nil && resp.Held.Replayed {
@@ -51,39 +53,39 @@
 	return a
 }
 
-// notHeld answers a hold that certainly did not run; last is what the primary
-// said, nil when it was not asked.
-func (e *Entry) notHeld(cl *call, shard string, last *gateway.LeafReply) wire.Answer {
+// notRunHoldAnswer returns the answer to a hold that certainly did not run.
+// lastFailure is the primary's reply, nil if the hold was not sent to it.
+func (e *Entry) notRunHoldAnswer(ar *admittedRequest, shard string, lastFailure *gateway.LeafReply) wire.Answer {
 	code, msg := errcode.ShardUnavailable, "no live leaf"
-	if last != nil {
-		code, msg = leafError(last)
+	if lastFailure != nil {
+		code, msg = failureReason(lastFailure)
 	}
-	a := e.withoutShard(cl, shard, code, msg)
+	a := e.missingShardAnswer(ar, shard, code, msg)
 	a.Code = code
 	a.Message = msg
 	return a
 }
 
-// holdUnknown answers a hold that may have run.
-func (e *Entry) holdUnknown(cl *call, shard string, a *gateway.Answer) wire.Answer {
+// unknownHoldAnswer returns the answer to a hold that may have run.
+func (e *Entry) unknownHoldAnswer(ar *admittedRequest, shard string, a *gateway.Answer) wire.Answer {
 	code, msg := errcode.ShardTimeout, errcode.ShardTimeout.Name()
 	switch {
 	case a.Relayed != nil:
-		code, msg = leafError(a.Relayed)
+		code, msg = failureReason(a.Relayed)
 	case a.LastFailure != nil:
-		code, msg = leafError(a.LastFailure)
+		code, msg = failureReason(a.LastFailure)
 	}
-	answer := e.withoutShard(cl, shard, code, msg)
+	answer := e.missingShardAnswer(ar, shard, code, msg)
 	answer.Code = errcode.OutcomeUnknown
 	answer.Message = "sent, no reply: ask again with the same Idempotency-Key"
 	return answer
 }
 
-// withoutShard is what answers to holds without a result share: why the shard is
-// missing, and when to ask again.
-func (e *Entry) withoutShard(cl *call, shard string, code errcode.Code, reason string) wire.Answer {
+// missingShardAnswer returns the common part of the answers to holds without a result:
+// the reason why the shard is missing, and the retry hint.
+func (e *Entry) missingShardAnswer(ar *admittedRequest, shard string, code errcode.Code, reason string) wire.Answer {
 	return wire.Answer{
-		RequestID: cl.id, Snapshot: cl.index.Snapshot, RetryAfterMs: e.set.RetryAfterMs,
+		RequestID: ar.id, Snapshot: ar.index.Snapshot, RetryAfterMs: e.settings.RetryAfterMs,
 		Missing: []wire.MissingShard{{Shard: shard, Code: code, Reason: reason}},
 	}
 }
--- a/pkg/entry/pause.go
+++ b/pkg/entry/pause.go
@@ -10,42 +10,48 @@
 	"github.com/indigoyoke/indigoyoke/pkg/service"
 )
 
-// Bounds of settling after a pause.
+// Limits of the settling period after a pause.
 const (
-	// settleMin lets the requests that waited in socket buffers while the
-	// process was paused be read, and refused, before new ones are served.
-	settleMin = 100 * time.Millisecond
-	// settleMax bounds the wait for the configuration service: a zone cut
-	// off from it goes on serving what it can.
-	settleMax = time.Second
+	// minSettleTime is the minimum duration of settling: the requests that waited in
+	// socket buffers while the process was paused are read, and refused, before new
+	// ones are served. It is also the retry interval for asking the configuration
+	// service.
+	minSettleTime = 100 * time.Millisecond
+	// maxSettleTime is the maximum time to wait for the configuration service, so that
+	// a zone that is partitioned from the service continues to serve.
+	maxSettleTime = time.Second
 )
 
-// pauseGuard notices that the process was paused (stopped, descheduled, or
-// its machine suspended) and woke up late. Two things go wrong then: a
-// request that waited in a socket buffer has its timeout counted from when
-// it is read, so a hold runs long after its caller left; and the first
-// answers come from the configuration of before the pause. Both show as
-// answers that differ from those of the other entry instances for a moment.
-// The tick beats the guard; a gap between beats longer than the limit, seen
-// by the tick or by the first request, starts settling, during which every
-// request is refused unrun.
-type pauseGuard struct {
-	limit    time.Duration
-	now      func() time.Duration
-	lastBeat atomic.Int64
-	// settling is when settling began, 0 when it is over.
-	settling atomic.Int64
+// pauseDetector detects that the process was paused (stopped, descheduled, or its
+// machine suspended) and resumed late. Two failures follow such a pause. The timeout
+// of a request that waited in a socket buffer counts from when it is read, so a hold
+// would run long after its caller disconnected. And the first answers would come from
+// the configuration of before the pause. Either way, the answers would differ from
+// those of the other entry instances for a moment.
+//
+// Each tick records its time. A gap since the last tick that exceeds the limit, found
+// by the next tick or by the first request, starts a settling period, during which
+// every request is refused without being run.
+type pauseDetector struct {
+	// limit is the longest gap between ticks that is not taken for a pause.
+	limit time.Duration
+	// now returns the time since boot; it is replaced in tests.
+	now func() time.Duration
+	// lastTick is when the last tick was recorded, in nanoseconds since boot.
+	lastTick atomic.Int64
+	// settlingSince is when settling began, in nanoseconds since boot; 0: not settling.
+	settlingSince atomic.Int64
 }
 
-func newPauseGuard(limit time.Duration) *pauseGuard {
-	return &pauseGuard{limit: limit, now: sinceBoot}
+func newPauseDetector(limit time.Duration) *pauseDetector {
+	return &pauseDetector{limit: limit, now: sinceBoot}
 }
 
-// start sets the first beat.
-func (g *pauseGuard) start() { g.lastBeat.Store(int64(g.now())) }
+// resetTick sets the time of the last tick to now, without checking for a pause.
+func (d *pauseDetector) resetTick() { d.lastTick.Store(int64(d.now())) }
 
-// sinceBoot reads the clock that runs on while the machine is suspended and
-// that no change of the time of day moves.
+// sinceBoot returns the time since boot, from the clock that also runs while the
+// machine is suspended and that changes of the wall clock do not affect.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -54,61 +60,60 @@
 	return time.Duration(ts.Nano())
 }
 
-// check reports whether the process is settling after a pause. It looks at
-// the clock itself, because the first request after a wake-up may be read
-// before the tick runs.
-func (g *pauseGuard) check() bool {
-	if g.settling.Load() != 0 {
+// isSettling reports whether the process is settling after a pause. It reads the clock
+// itself and starts settling if the last tick is too long ago, because the first
+// request after a pause may be read before the next tick runs.
+func (d *pauseDetector) isSettling() bool {
+	if d.settlingSince.Load() != 0 {
 		return true
 	}
-	now := g.now()
-	if now-time.Duration(g.lastBeat.Load()) <= g.limit {
+	now := d.now()
+	if now-time.Duration(d.lastTick.Load()) <= d.limit {
 		return false
 	}
-	g.settling.CompareAndSwap(0, int64(now))
+	d.settlingSince.CompareAndSwap(0, int64(now))
 	return true
 }
 
-// beat is called each tick and reports whether settling is going on.
-func (g *pauseGuard) beat() bool {
-	paused := g.check()
-	g.start()
+// recordTick records a tick and reports whether the process is settling.
+func (d *pauseDetector) recordTick() bool {
+	paused := d.isSettling()
+	d.resetTick()
 	return paused
 }
 
-// settled ends settling.
-func (g *pauseGuard) settled() { g.settling.Store(0) }
+func (d *pauseDetector) endSettling() { d.settlingSince.Store(0) }
 
-// settledFor is how long settling has been going on.
-func (g *pauseGuard) settledFor() time.Duration {
-	return g.now() - time.Duration(g.settling.Load())
+// settlingDuration returns how long the process has been settling.
+func (d *pauseDetector) settlingDuration() time.Duration {
+	return d.now() - time.Duration(d.settlingSince.Load())
 }
 
-// settleAfterPause ends settling once the configuration is known to be the
-// newest the service has, or the service could not be asked in time.
+// settleAfterPause ends settling once the configuration is confirmed to be the newest
+// that the configuration service has, or after maxSettleTime without an answer.
 func (e *Entry) settleAfterPause(ctx context.Context) {
 	e.stats.pauses.Inc()
-	e.log.Info("woke from a pause: refusing until the configuration is confirmed")
-	ctx, cancel := context.WithTimeout(ctx, settleMax)
+	e.log.Info("process was paused: refusing requests until the configuration is confirmed")
+	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	confirmed := false
 	for !confirmed && ctx.Err() == nil {
 		confirmed = e.watcher.Refresh(ctx) == nil
 		if !confirmed {
-			service.Sleep(ctx, settleMin)
+			service.Sleep(ctx, minSettleTime)
 		}
 	}
-	if left := settleMin - e.pause.settledFor(); left > 0 {
+	if left := minSettleTime - e.pauseDetector.settlingDuration(); left > 0 {
 		service.Sleep(ctx, left)
 	}
-	e.pause.settled()
-	e.log.WithField("confirmed", confirmed).Info("settled after a pause")
+	e.pauseDetector.endSettling()
+	e.log.WithField("confirmed", confirmed).Info("settling after a pause ended")
 }
 
-// watchForPauses beats the guard each tick and settles after a pause.
-func (e *Entry) watchForPauses(ctx context.Context) {
-	if e.pause.beat() {
+// checkForPause is called each tick. After a pause it blocks until settling has ended.
+func (e *Entry) checkForPause(ctx context.Context) {
+	if e.pauseDetector.recordTick() {
 		e.settleAfterPause(ctx)
-		e.pause.beat()
+		e.pauseDetector.recordTick()
 	}
 }
--- a/pkg/entry/pause_test.go
+++ b/pkg/entry/pause_test.go
@@ -7,28 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPauseSeenByFirstRequest checks that the first request after a pause
-// is refused even when it is read before the tick runs, and that settling
-// lasts until it is ended.
-//
-// Symptom: a request that waited in a socket buffer while the process was
-// paused is served on wake-up.
-// Sequence: the clock jumps past the limit; a request is checked before any
-// tick; ticks and requests follow.
-// Cause it guards against: a guard that only the tick consults.
-func TestPauseSeenByFirstRequest(t *testing.T) {
+// Guards against a request being served that waited in a socket buffer while the process
+// was paused. This happens if only the tick checks for a pause and a request is read
+// before the first tick after the pause. The test also checks that settling lasts until
+// it is ended.
+func TestFirstRequestAfterPauseIsRefused(t *testing.T) {
 	var now time.Duration = time.Hour
-	g := newPauseGuard(2 * time.Second)
-	g.now = func() time.Duration { return now }
-	g.start()
+	d := newPauseDetector(2 * time.Second)
+	d.now = func() time.Duration { return now }
+	d.resetTick()
 	now += 1900 * time.Millisecond
-	require.False(t, g.check(), "a late tick is no pause")
+	require.False(t, d.isSettling(), "a late tick was taken for a pause")
 	now += 200 * time.Millisecond
-	require.True(t, g.check(), "the first request sees the gap")
-	require.True(t, g.beat(), "the tick goes on settling")
-	require.True(t, g.check())
+	require.True(t, d.isSettling(), "the first request after a pause did not detect it")
+	require.True(t, d.recordTick(), "the tick ended settling")
+	require.True(t, d.isSettling())
 	now += 300 * time.Millisecond
-	require.Equal(t, 300*time.Millisecond, g.settledFor())
-	g.settled()
-	require.False(t, g.check())
+	require.Equal(t, 300*time.Millisecond, d.settlingDuration())
+	d.endSettling()
+	require.False(t, d.isSettling())
 }
--- a/pkg/entry/plan_test.go
+++ b/pkg/entry/plan_test.go
@@ -13,7 +13,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-func TestPlan(t *testing.T) {
+func TestRoutingPlanOfConfiguration(t *testing.T) {
 	cfg := &topology.Config{
 		Version: 3,
 		Deployments: []topology.Deployment{{Name: "d", Indexes: []topology.Index{{
@@ -21,36 +21,36 @@
 		}}}},
 		Backends: []topology.BackendServer{{Name: "u1", Addr: "a:1", MaxConns: 25}, {Name: "u2", Addr: "a:2"}},
 	}
-	p := newPlan(cfg)
-	require.Equal(t, []string{"d/i/s1", "d/i/s2"}, p.searches["d/i"].Shards)
-	require.Equal(t, "d/i/s1/primary", p.holds["d/i/s1"].Targets[0].Service)
-	require.Equal(t, 1, p.holds["d/i/s1"].MaxAttempts, "a hold is never moved to another replica")
-	require.Equal(t, []string{"d/i/s1", "d/i/s1/primary"}, p.services["u1"])
-	require.Equal(t, []string{"d/i/s1", "d/i/s2", "d/i/s2/primary"}, p.services["u2"])
-	require.Equal(t, "s1", p.shards["d/i/s1/primary"])
+	p := newRoutingPlan(cfg)
+	require.Equal(t, []string{"d/i/s1", "d/i/s2"}, p.searchRoutes["d/i"].Shards)
+	require.Equal(t, "d/i/s1/primary", p.holdRoutes["d/i/s1"].Targets[0].Service)
+	require.Equal(t, 1, p.holdRoutes["d/i/s1"].MaxAttempts, "a hold may be retried at another replica")
+	require.Equal(t, []string{"d/i/s1", "d/i/s1/primary"}, p.servicesByBackend["u1"])
+	require.Equal(t, []string{"d/i/s1", "d/i/s2", "d/i/s2/primary"}, p.servicesByBackend["u2"])
+	require.Equal(t, "s1", p.shardIDs["d/i/s1/primary"])
 	u1 := p.leaf(cfg.Backends[0], 4)
 	require.Equal(t, 24, u1.MaxConns)
 	require.Equal(t, int64(3), u1.Sequence)
 }
 
-func TestEvenShare(t *testing.T) {
-	for _, tc := range []struct{ published, instances, want int }{{25, 4, 24}, {24, 4, 24}, {3, 4, 4}, {0, 4, 0}} {
-		require.Equal(t, tc.want, evenShare(tc.published, tc.instances), "%v", tc)
+func TestConnectionLimitIsDivisibleByInstances(t *testing.T) {
+	for _, tc := range []struct{ limit, instances, want int }{{25, 4, 24}, {24, 4, 24}, {3, 4, 4}, {0, 4, 0}} {
+		require.Equal(t, tc.want, evenlyDivisibleLimit(tc.limit, tc.instances), "%v", tc)
 	}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestLeafCodeMapsToOutcome(t *testing.T) {
 	for code, want := range map[errcode.Code]replica.Outcome{
 		errcode.OK: replica.Answered, errcode.ShardCancelled: replica.Abandoned, errcode.ShardTimeout: replica.TimedOut,
 		errcode.ShardRefused: replica.Refused, errcode.SnapshotUnavailable: replica.Refused,
 		errcode.ShardNotHosted: replica.Refused, errcode.ShardFailed: replica.Failed,
 	} {
-		require.Equal(t, want, outcomeOf(code), code)
-		require.Equal(t, code.NotRun() && code != errcode.OK, outcomeOf(code).NotRun(), "%v: not run only where the leaf says so", code)
+		require.Equal(t, want, outcomeForCode(code), code)
+		require.Equal(t, code.NotRun() && code != errcode.OK, outcomeForCode(code).NotRun(), "%v: the outcome and the code differ on whether the request ran", code)
 	}
 }
 
-func TestMissingReasons(t *testing.T) {
+func TestMissingShardHasCodeAndReason(t *testing.T) {
 	refused := &gateway.LeafReply{Outcome: replica.Refused, Content: &wire.LeafResponse{Code: errcode.ShardNotHosted}}
 	for _, tc := range []struct {
 		shard gateway.ShardAnswer
@@ -63,9 +63,9 @@
 		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: refused}, errcode.ShardNotHosted},
 		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.NotSent}}, errcode.ShardUnavailable},
 		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.NotSent, Err: gateway.ErrNoWorker}}, errcode.EntryOverloaded},
-		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.Broken, Err: errMismatch}}, errcode.ShardFailed},
+		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.Broken, Err: errReplyMismatch}}, errcode.ShardFailed},
 	} {
-		code, reason := missing(&tc.shard)
+		code, reason := missingReason(&tc.shard)
 		require.Equal(t, tc.want, code)
 		require.NotContains(t, reason, "<nil>")
 	}
--- a/pkg/entry/search.go
+++ b/pkg/entry/search.go
@@ -10,35 +10,35 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// search runs req over every shard of the pinned index at the pinned snapshot.
-func (e *Entry) search(ctx context.Context, cl *call, req wire.SearchRequest) wire.Answer {
+// search runs req on every shard of the pinned index at the pinned snapshot.
+func (e *Entry) search(ctx context.Context, ar *admittedRequest, req wire.SearchRequest) wire.Answer {
 	message := wire.LeafRequest{Kind: wire.LeafSearch, Text: req.Text, Limit: req.Limit}
-	a := e.run(ctx, cl, cl.plan.searches[cl.name], message)
+	a := e.run(ctx, ar, ar.plan.searchRoutes[ar.indexKey], message)
 	switch a.Code {
 	case errcode.EntryOverloaded:
-		return e.overloaded(cl)
+		return e.refuseOverloaded(ar)
 	case errcode.Quarantined:
-		return e.quarantined(cl, &a)
+		return e.refuseQuarantined(ar, &a)
 	case errcode.CallerDisconnected:
-		e.stats.callersLeft.Inc()
-		return e.refusal(cl.id, a.Code, a.Code.Name())
+		e.stats.callerDisconnects.Inc()
+		return e.refusal(ar.id, a.Code, a.Code.Name())
 	}
-	return e.covering(cl, a.Shards)
+	return e.searchAnswer(ar, a.Shards)
 }
 
-// covering writes the answer: every shard is either covered or missing with a
-// reason, and hits come only from covered shards.
-func (e *Entry) covering(cl *call, shards []gateway.ShardAnswer) wire.Answer {
-	a := wire.Answer{RequestID: cl.id, Code: errcode.OK, Snapshot: cl.index.Snapshot}
+// searchAnswer builds the answer to a search: every shard is either covered or missing
+// with a reason, and hits come only from covered shards.
+func (e *Entry) searchAnswer(ar *admittedRequest, shards []gateway.ShardAnswer) wire.Answer {
+	a := wire.Answer{RequestID: ar.id, Code: errcode.OK, Snapshot: ar.index.Snapshot}
 	for i := range shards {
-		id := cl.index.Shards[i].ID
+		id := ar.index.Shards[i].ID
 		if reply := shards[i].Reply; reply != nil {
 			a.Covered = append(a.Covered, id)
 			a.Hits = append(a.Hits, reply.Content.(*wire.LeafResponse).Hits...)
 			continue
 		}
-		code, reason := missing(&shards[i])
-		e.stats.missing(code)
+		code, reason := missingReason(&shards[i])
+		e.stats.countMissingShard(code)
 		a.Missing = append(a.Missing, wire.MissingShard{Shard: id, Code: code, Reason: reason})
 	}
 	sort.Strings(a.Covered)
@@ -48,12 +48,12 @@
 	return a
 }
 
-// missing is the code and the text for a shard that an answer lacks.
-func missing(s *gateway.ShardAnswer) (errcode.Code, string) {
+// missingReason returns the code and the text for a shard that is missing from an answer.
+func missingReason(s *gateway.ShardAnswer) (errcode.Code, string) {
 	switch s.MissingReason {
 	case fanout.Failed:
 		if s.LastFailure != nil {
-			return leafError(s.LastFailure)
+			return failureReason(s.LastFailure)
 		}
 	case fanout.NoLeaf, fanout.AllDown:
 		return errcode.ShardUnavailable, "no live leaf"
--- a/pkg/entry/tick.go
+++ b/pkg/entry/tick.go
@@ -7,12 +7,13 @@
 	"github.com/indigoyoke/indigoyoke/pkg/settings"
 )
 
-// runTicks runs the systems over the tables once a tick until ctx ends.
+// runTicks runs the periodic tasks (pause detection and the gateway's upkeep) once per
+// tick until ctx ends.
 func (e *Entry) runTicks(ctx context.Context) {
-	t := time.NewTicker(settings.Duration(e.set.TickMs))
+	t := time.NewTicker(settings.Duration(e.settings.TickMs))
 	defer t.Stop()
 	for {
-		e.watchForPauses(ctx)
+		e.checkForPause(ctx)
 		e.gateway.Tick(time.Now())
 		select {
 		case <-ctx.Done():
