--- a/pkg/configwatch/outage_test.go
+++ b/pkg/configwatch/retry_test.go
@@ -16,24 +16,25 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// failing is a service that refuses its second and third call and notes how long each was to wait.
-type failing struct {
+// failingService answers its second and third call with an error, and records for each call the
+// requested wait in milliseconds.
+type failingService struct {
 	*httptest.Server
-	mu    sync.Mutex
-	waits []string
-	// enough is closed with the fifth call.
-	enough chan struct{}
+	mu               sync.Mutex
+	requestedWaitsMs []string
+	// fifthCall is closed when the fifth call arrives.
+	fifthCall chan struct{}
 }
 
-func newFailing(t *testing.T) *failing {
-	s := &failing{enough: make(chan struct{})}
+func newFailingService(t *testing.T) *failingService {
+	s := &failingService{fifthCall: make(chan struct{})}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.waits = append(s.waits, r.URL.Query().Get("timeout_ms"))
-		n := len(s.waits)
+		s.requestedWaitsMs = append(s.requestedWaitsMs, r.URL.Query().Get("timeout_ms"))
+		n := len(s.requestedWaitsMs)
 		s.mu.Unlock()
 		if n == 5 {
-			close(s.enough)
+			close(s.fifthCall)
 		}
 		if n == 2 || n == 3 {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -45,13 +46,14 @@
 	return s
 }
 
-// addr is where the service listens.
-func (s *failing) addr() string { return strings.TrimPrefix(s.URL, "http://") }
+// addr returns the address on which the service listens.
+func (s *failingService) addr() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Guards against: a return of the service that is noticed only when a call has waited for a change
-// as long as any other.
-func TestCallsAfterAFailureAreShort(t *testing.T) {
-	for name, follow := range map[string]func(ctx context.Context, addr string) error{
+// Guards against noticing only after a full long poll that the service works again. This happens if
+// a call after a failure waits for a change as long as any other call, since the service does not
+// answer it before then.
+func TestPollAfterFailureAsksForImmediateAnswer(t *testing.T) {
+	for name, startWatch := range map[string]func(ctx context.Context, addr string) error{
 		"configuration": func(ctx context.Context, addr string) error {
 			w, err := NewWatcher(addr, "z", metrics.NewSet(), service.Logger("test", "w", "z"))
 			if err == nil {
@@ -68,14 +70,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newFailing(t)
+			s := newFailingService(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			require.NoError(t, follow(ctx, s.addr()))
-			<-s.enough
+			require.NoError(t, startWatch(ctx, s.addr()))
+			<-s.fifthCall
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			require.Equal(t, []string{"5000", "5000", "1", "1", "5000"}, s.waits[:5])
+			require.Equal(t, []string{"5000", "5000", "1", "1", "5000"}, s.requestedWaitsMs[:5])
 		})
 	}
 }
