--- a/pkg/relay/dial.go
+++ b/pkg/relay/dial.go
@@ -9,8 +9,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// dialer keeps one connection to each peer asked so far. An idle one ends by
-// itself and is dialled again when next needed.
+// dialer keeps one connection to each peer that was queried. A connection that was closed
+// after its idle timeout is opened again when it is next needed.
 type dialer struct {
 	transport *quic.Transport
 	tls       *tls.Config
@@ -19,7 +19,7 @@
 	conns     map[string]*quic.Conn
 }
 
-// conn returns a live connection to addr.
+// conn returns an open connection to addr, and opens one if there is none.
 func (d *dialer) conn(ctx context.Context, addr string) (*quic.Conn, error) {
 	d.mu.Lock()
 	c := d.conns[addr]
@@ -41,8 +41,8 @@
 	return c, nil
 }
 
-// drop closes the connection to addr after a failed exchange: a peer that
-// was frozen or replaced leaves a connection that goes silent for good.
+// drop closes the connection to addr after a failed exchange. If the peer was frozen or
+// replaced, the old connection may never carry a response again.
 func (d *dialer) drop(addr string) {
 	d.mu.Lock()
 	c := d.conns[addr]
@@ -53,6 +53,7 @@
 	}
 }
 
+// closeAll closes the connections to all peers.
 func (d *dialer) closeAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/relay/exchange.go
+++ b/pkg/relay/exchange.go
@@ -15,25 +15,26 @@
 	"github.com/indigoyoke/indigoyoke/pkg/topology"
 )
 
-// ask is one question: the version the asker has in force, 0 for none, and the requests that
-// it knows to end leafs.
-type ask struct {
-	Version  int64               `json:"version"`
-	Requests []quarantine.Report `json:"requests,omitempty"`
+// query holds the version of the configuration that the sender has in force, 0 without one, and
+// its quarantine reports.
+type query struct {
+	Version int64               `json:"version"`
+	Reports []quarantine.Report `json:"requests,omitempty"`
 }
 
-// reply is the answer: the version the peer has in force and, if that is
-// newer, the configuration as gzipped JSON. The short answer, which nearly
-// all are, is not gzipped: setting up a compressor costs more than the rest
-// of the exchange.
-type reply struct {
+// response answers a query. It holds the version of the configuration that the peer has in force
+// and, if that is newer than the version in the query, the configuration as gzipped JSON. The rest
+// of the response is not compressed: nearly all responses are without a configuration, and for
+// these setting up a compressor would cost more than the rest of the exchange.
+type response struct {
 	Version  int64               `json:"version"`
 	ConfigGz []byte              `json:"config_gz,omitempty"`
-	Requests []quarantine.Report `json:"requests,omitempty"`
+	Reports  []quarantine.Report `json:"requests,omitempty"`
 }
 
-// exchange asks the peer at addr; nil means it has nothing newer.
-func (r *Relay) exchange(ctx context.Context, addr string, requests []quarantine.Report) (*topology.Config, error) {
+// exchange sends a query to the peer at addr, merges the reports of its response, and returns its
+// configuration, or nil if that is not newer.
+func (r *Relay) exchange(ctx context.Context, addr string, reports []quarantine.Report) (*topology.Config, error) {
 	conn, err := r.dialer.conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -43,95 +44,98 @@
 		return nil, err
 	}
 	defer stream.CancelRead(0)
-	if end, ok := ctx.Deadline(); ok {
-		_ = stream.SetDeadline(end)
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = stream.SetDeadline(deadline)
 	}
-	question := ask{Version: version(r.source.Current()), Requests: requests}
-	if err := json.NewEncoder(stream).Encode(question); err != nil {
+	q := query{Version: versionOf(r.store.Current()), Reports: reports}
+	if err := json.NewEncoder(stream).Encode(q); err != nil {
 		return nil, err
 	}
 	if err := stream.Close(); err != nil {
 		return nil, err
 	}
-	cfg, notes, err := readReply(stream)
-	r.learn(notes, addr)
+	cfg, peerReports, err := readResponse(stream)
+	r.mergeReports(peerReports, addr)
 	return cfg, err
 }
 
-// readReply decodes an answer: a configuration, nil if there is nothing newer, and what the
-// peer says of requests.
-func readReply(from io.Reader) (*topology.Config, []quarantine.Report, error) {
-	var a reply
-	if err := json.NewDecoder(io.LimitReader(from, maxReplyBytes)).Decode(&a); err != nil {
+// readResponse decodes a response and returns the configuration, nil if there is none, and the
+// quarantine reports.
+func readResponse(r io.Reader) (*topology.Config, []quarantine.Report, error) {
+	var resp response
+	if err := json.NewDecoder(io.LimitReader(r, maxResponseBytes)).Decode(&resp); err != nil {
 		return nil, nil, err
 	}
-	if len(a.ConfigGz) == 0 {
-		return nil, a.Requests, nil
+	if len(resp.ConfigGz) == 0 {
+		return nil, resp.Reports, nil
 	}
-	unzip, err := gzip.NewReader(bytes.NewReader(a.ConfigGz))
+	gz, err := gzip.NewReader(bytes.NewReader(resp.ConfigGz))
 	if err != nil {
-		return nil, a.Requests, err
+		return nil, resp.Reports, err
 	}
 	var cfg topology.Config
-	if err := json.NewDecoder(io.LimitReader(unzip, maxReplyBytes)).Decode(&cfg); err != nil {
-		return nil, a.Requests, err
+	if err := json.NewDecoder(io.LimitReader(gz, maxResponseBytes)).Decode(&cfg); err != nil {
+		return nil, resp.Reports, err
 	}
-	return &cfg, a.Requests, nil
+	return &cfg, resp.Reports, nil
 }
 
-func pack(cfg *topology.Config) ([]byte, error) {
+// gzipConfig encodes a configuration as gzipped JSON.
+func gzipConfig(cfg *topology.Config) ([]byte, error) {
 	var out bytes.Buffer
-	zip := gzip.NewWriter(&out)
-	if err := json.NewEncoder(zip).Encode(cfg); err != nil {
+	gz := gzip.NewWriter(&out)
+	if err := json.NewEncoder(gz).Encode(cfg); err != nil {
 		return nil, err
 	}
-	err := zip.Close()
+	err := gz.Close()
 	return out.Bytes(), err
 }
 
-func version(c *topology.Config) int64 {
+// versionOf returns the version of a configuration, 0 for nil.
+func versionOf(c *topology.Config) int64 {
 	if c == nil {
 		return 0
 	}
 	return c.Version
 }
 
-// requests are those that end leafs, as a peer is told of them.
-func (r *Relay) requests() []quarantine.Report {
-	return r.quarantine.AntiEntropyReports(maxRequests, time.Now())
+// quarantineReports returns the reports for a regular query or response: some of the suspected and
+// quarantined requests, others each time.
+func (r *Relay) quarantineReports() []quarantine.Report {
+	return r.quarantine.AntiEntropyReports(maxReports, time.Now())
 }
 
-// learn takes over what a peer says of requests that end leafs.
-func (r *Relay) learn(notes []quarantine.Report, peer string) {
+// mergeReports merges the quarantine reports of a peer and logs the changes.
+func (r *Relay) mergeReports(reports []quarantine.Report, peer string) {
 	now := time.Now()
-	for _, note := range notes[:min(len(notes), maxRequests)] {
-		if turn := r.quarantine.Merge(note, now); turn.Changed() {
-			r.log.WithField("peer", peer).WithFields(logrus.Fields(turn.Fields())).Warn(turn.Event())
+	for _, report := range reports[:min(len(reports), maxReports)] {
+		if change := r.quarantine.Merge(report, now); change.Changed() {
+			r.log.WithField("peer", peer).WithFields(logrus.Fields(change.Fields())).Warn(change.Event())
 		}
 	}
 }
 
-// answer replies to one question with the configuration in force if it is
-// newer than the asker's.
-func (r *Relay) answer(stream *quic.Stream, peer string) error {
-	var q ask
-	if err := json.NewDecoder(io.LimitReader(stream, maxAskBytes)).Decode(&q); err != nil {
+// handleQuery reads a query, merges its reports and sends the response, with the configuration in
+// force if it is newer than the sender's.
+func (r *Relay) handleQuery(stream *quic.Stream, peer string) error {
+	var q query
+	if err := json.NewDecoder(io.LimitReader(stream, maxQueryBytes)).Decode(&q); err != nil {
 		return err
 	}
-	r.learn(q.Requests, peer)
-	out := reply{Requests: r.requests()}
-	if cfg := r.source.Current(); cfg != nil {
-		out.Version = cfg.Version
+	r.mergeReports(q.Reports, peer)
+	resp := response{Reports: r.quarantineReports()}
+	if cfg := r.store.Current(); cfg != nil {
+		resp.Version = cfg.Version
 		if cfg.Version > q.Version {
-			packed, err := pack(cfg)
+			packed, err := gzipConfig(cfg)
 			if err != nil {
 				return err
 			}
-			out.ConfigGz = packed
-			r.served.Inc()
+			resp.ConfigGz = packed
+			r.configsServed.Inc()
 		}
 	}
-	if err := json.NewEncoder(stream).Encode(out); err != nil {
+	if err := json.NewEncoder(stream).Encode(resp); err != nil {
 		return err
 	}
 	return stream.Close()
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,10 +1,13 @@
-// Package relay owns the one protocol between entry instances: each asks its
-// peers in turn, one a second, over QUIC, for a deployment configuration newer
-// than its own. It is how an entry instance that starts while the platform's
-// configuration service is down gets a configuration at all, and how an
-// accepted change reaches a zone that has lost the service, or sees a stale
-// replica of it, but not its peers. Nothing is written anywhere: a peer hands
-// on what it has in force, and versions only go forward.
+// Package relay implements the protocol between entry instances. Each instance queries
+// its peers in turn over QUIC, one per second, for a deployment configuration that is newer
+// than its own. So an entry instance that starts while the platform's configuration service
+// is down still gets a configuration, and an accepted change reaches a zone that has lost
+// the service, or that sees a stale replica of it, but can reach its peers. Nothing is
+// stored: a peer sends the configuration that it has in force, and no configuration is
+// replaced by an older version.
+//
+// Queries and responses also carry quarantine reports: what an instance knows of requests
+// that crash leafs.
 package relay
 
 import (
@@ -23,18 +26,21 @@
 	"github.com/indigoyoke/indigoyoke/pkg/topology"
 )
 
-// Protocol limits.
+// Limits of the protocol.
 const (
+	// exchangeTimeout is the maximum time for a query and its response, and for a handshake.
 	exchangeTimeout = time.Second
-	// maxRequests bounds the requests that one side tells of, about 200 bytes each.
-	maxRequests = 64
-	// maxAskBytes and maxReplyBytes bound what one side reads; a
-	// configuration of 5,200 leafs is about 340 KB.
-	maxAskBytes   = 32 << 10
-	maxReplyBytes = 16 << 20
-	idleTimeout   = 30 * time.Second
-	// startInterval replaces the interval while there is no configuration.
-	startInterval = 100 * time.Millisecond
+	// maxReports is the maximum number of quarantine reports in a message; each takes about
+	// 200 bytes.
+	maxReports = 64
+	// maxQueryBytes and maxResponseBytes are the maximum number of bytes that are read of
+	// a message; a configuration of 5,200 leafs takes about 340 KB.
+	maxQueryBytes    = 32 << 10
+	maxResponseBytes = 16 << 20
+	// idleTimeout is the time after which an unused connection is closed.
+	idleTimeout = 30 * time.Second
+	// initialInterval is the maximum interval between queries while there is no configuration.
+	initialInterval = 100 * time.Millisecond
 )
 
 // Application error codes on a relay connection.
@@ -43,18 +49,19 @@
 	codeFailed   quic.ApplicationErrorCode = 1
 )
 
-// ConfigStore is where a relay takes from and gives to: the configuration watch.
+// ConfigStore holds the configuration that a relay sends to its peers and that it replaces
+// by newer ones; configwatch.Watcher implements it.
 type ConfigStore interface {
-	// Current is the configuration in force, nil before the first.
+	// Current returns the configuration in force, nil before the first one.
 	Current() *topology.Config
-	// ApplyIfNewer puts a configuration in force if it is newer, and reports
-	// whether it did.
+	// ApplyIfNewer puts a configuration in force if it is newer than the one in
+	// force, and reports whether it did.
 	ApplyIfNewer(*topology.Config) bool
 }
 
-// Options are a relay's settings. Listen is host:port (UDP); Peers are the
-// other entry instances' relay addresses; Secret is shared by all of them;
-// Interval is the time between questions.
+// Options are a relay's settings. Listen is the host:port of its UDP socket. Peers are the
+// relay addresses of the other entry instances, and Secret is shared by all of them.
+// Interval is the mean time between two queries.
 type Options struct {
 	Listen   string
 	Peers    []string
@@ -62,29 +69,33 @@
 	Interval time.Duration
 }
 
-// Relay answers its peers and asks them.
+// Relay answers the queries of its peers and queries them.
 type Relay struct {
 	interval time.Duration
-	source   ConfigStore
-	// quarantine knows the requests that end leafs.
+	store    ConfigStore
+	// quarantine holds the requests that are suspected or known to crash leafs.
 	quarantine *quarantine.Table
 	log        *logrus.Entry
 	transport  *quic.Transport
 	listener   *quic.Listener
 	dialer     dialer
-	mu         sync.Mutex
-	peers      []string
-	next       int
-	wg         sync.WaitGroup
-
-	asked  *metrics.Counter
-	failed *metrics.Counter
-	taken  *metrics.Counter
-	served *metrics.Counter
+	// mu guards peers and nextPeerIndex.
+	mu            sync.Mutex
+	peers         []string
+	nextPeerIndex int
+	wg            sync.WaitGroup
+
+	// queriesSent and queriesFailed count the queries to peers. configsTaken counts the
+	// configurations received from peers and put in force, and configsServed those sent
+	// to peers.
+	queriesSent   *metrics.Counter
+	queriesFailed *metrics.Counter
+	configsTaken  *metrics.Counter
+	configsServed *metrics.Counter
 }
 
-// New binds the relay's address.
-func New(o Options, src ConfigStore, held *quarantine.Table, set *metrics.Set, log *logrus.Entry) (*Relay, error) {
+// New returns a relay that listens on the address given in the options.
+func New(o Options, store ConfigStore, quarantined *quarantine.Table, set *metrics.Set, log *logrus.Entry) (*Relay, error) {
 	tlsConf, err := tlsConfig(o.Secret)
 	if err != nil {
 		return nil, err
@@ -93,7 +104,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Path MTU probes of 1.4 KB would be most of what an idle relay sends.
+	// Path MTU discovery is disabled, because its probes of 1.4 KB would be most of the
+	// traffic of an idle relay.
 	quicConf := &quic.Config{MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: exchangeTimeout, DisablePathMTUDiscovery: true}
 	tr := &quic.Transport{Conn: conn}
 	ln, err := tr.Listen(tlsConf, quicConf)
@@ -102,39 +114,40 @@
 		return nil, err
 	}
 	return &Relay{
-		interval: o.Interval, source: src, quarantine: held, log: log, transport: tr, listener: ln, peers: shuffled(o.Peers),
-		dialer: dialer{transport: tr, tls: tlsConf, quic: quicConf, conns: map[string]*quic.Conn{}},
-		asked:  set.NewCounter("relay_asked_total"),
-		failed: set.NewCounter("relay_ask_failures_total"),
-		taken:  set.NewCounter("relay_configs_taken_total"),
-		served: set.NewCounter("relay_configs_served_total"),
+		interval: o.Interval, store: store, quarantine: quarantined, log: log, transport: tr, listener: ln, peers: shuffled(o.Peers),
+		dialer:        dialer{transport: tr, tls: tlsConf, quic: quicConf, conns: map[string]*quic.Conn{}},
+		queriesSent:   set.NewCounter("relay_asked_total"),
+		queriesFailed: set.NewCounter("relay_ask_failures_total"),
+		configsTaken:  set.NewCounter("relay_configs_taken_total"),
+		configsServed: set.NewCounter("relay_configs_served_total"),
 	}, nil
 }
 
-// Addr is the bound address.
+// Addr returns the address on which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetPeers replaces the peers that are asked.
+// SetPeers replaces the peers that are queried.
 func (r *Relay) SetPeers(peers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.peers = shuffled(peers)
-	r.next = 0
+	r.nextPeerIndex = 0
 }
 
+// shuffled returns a copy of peers in random order.
 func shuffled(peers []string) []string {
 	out := slices.Clone(peers)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// Run answers and asks until ctx ends.
+// Run answers queries and queries the peers until ctx ends, and then closes the relay.
 func (r *Relay) Run(ctx context.Context) {
 	r.wg.Add(1)
-	go func() { defer r.wg.Done(); r.accept(ctx) }()
+	go func() { defer r.wg.Done(); r.acceptConns(ctx) }()
 	for ctx.Err() == nil {
-		r.askSomeone(ctx)
-		r.waitForTurn(ctx)
+		r.queryNextPeer(ctx)
+		r.waitForNextQuery(ctx)
 	}
 	r.dialer.closeAll()
 	_ = r.listener.Close()
@@ -143,100 +156,103 @@
 	_ = r.transport.Conn.Close()
 }
 
-// tellStep is how often is looked for requests that have ended leafs.
-const tellStep = 20 * time.Millisecond
-
-// waitForTurn waits until the next question is due. Meanwhile it asks all peers at once when
-// a request has ended leafs: its caller may come back at any entry instance.
-func (r *Relay) waitForTurn(ctx context.Context) {
-	due := time.Now().Add(r.pause())
-	for ctx.Err() == nil && time.Now().Before(due) {
-		service.Sleep(ctx, min(tellStep, time.Until(due)))
-		if changes := r.quarantine.PendingReports(maxRequests, time.Now()); len(changes) > 0 {
-			r.askAll(ctx, changes)
+// reportPollInterval is the interval at which the relay checks for new quarantine reports.
+const reportPollInterval = 20 * time.Millisecond
+
+// waitForNextQuery waits until the next query is due. If there are new quarantine reports
+// meanwhile, it sends them to all peers at once, because the caller of a request that crashes leafs
+// may retry at any entry instance.
+func (r *Relay) waitForNextQuery(ctx context.Context) {
+	deadline := time.Now().Add(r.nextDelay())
+	for ctx.Err() == nil && time.Now().Before(deadline) {
+		service.Sleep(ctx, min(reportPollInterval, time.Until(deadline)))
+		if reports := r.quarantine.PendingReports(maxReports, time.Now()); len(reports) > 0 {
+			r.queryAllPeers(ctx, reports)
 		}
 	}
 }
 
-// askAll asks every peer once, and tells them of changed requests.
-func (r *Relay) askAll(ctx context.Context, changes []quarantine.Report) {
+// queryAllPeers queries every peer once and sends it the given reports.
+func (r *Relay) queryAllPeers(ctx context.Context, reports []quarantine.Report) {
 	r.mu.Lock()
 	peers := slices.Clone(r.peers)
 	r.mu.Unlock()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, addr := range peers {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			r.ask(ctx, addr, changes)
+			defer wg.Done()
+			r.queryPeer(ctx, addr, reports)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// pause is the time until the next question: the interval, give or take a
-// quarter so that peers started together do not ask together.
-func (r *Relay) pause() time.Duration {
+// nextDelay returns the time until the next query: the interval with a jitter of ±25 %, so
+// that peers that were started together do not send their queries together.
+func (r *Relay) nextDelay() time.Duration {
 	d := r.interval
-	if r.source.Current() == nil {
-		d = min(d, startInterval)
+	if r.store.Current() == nil {
+		d = min(d, initialInterval)
 	}
 	return d*3/4 + time.Duration(rand.Int64N(int64(d/2)+1))
 }
 
-// peer returns the next peer to ask. Peers are asked in turn, in an order of
-// this relay's own, so that a version that any reachable peer has is met
-// after at most one round.
-func (r *Relay) peer() (string, bool) {
+// nextPeer returns the next peer to query, or false if there is none. Peers are queried in
+// turn, in a random order that each relay draws for itself, so that a version held by any
+// reachable peer is found within one round.
+func (r *Relay) nextPeer() (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.peers) == 0 {
 		return "", false
 	}
-	addr := r.peers[r.next%len(r.peers)]
-	r.next++
+	addr := r.peers[r.nextPeerIndex%len(r.peers)]
+	r.nextPeerIndex++
 	return addr, true
 }
 
-// askSomeone asks the next peer.
-func (r *Relay) askSomeone(ctx context.Context) {
-	addr, ok := r.peer()
+// queryNextPeer queries the peer whose turn it is.
+func (r *Relay) queryNextPeer(ctx context.Context) {
+	addr, ok := r.nextPeer()
 	if !ok {
 		return
 	}
-	r.ask(ctx, addr, r.requests())
+	r.queryPeer(ctx, addr, r.quarantineReports())
 }
 
-// ask asks one peer, tells it of requests, and puts a newer configuration in force.
-func (r *Relay) ask(ctx context.Context, addr string, requests []quarantine.Report) {
-	r.asked.Inc()
+// queryPeer queries one peer, sends it the given reports, and puts the peer's configuration in
+// force if it is newer.
+func (r *Relay) queryPeer(ctx context.Context, addr string, reports []quarantine.Report) {
+	r.queriesSent.Inc()
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	cfg, err := r.exchange(ctx, addr, requests)
+	cfg, err := r.exchange(ctx, addr, reports)
 	if err != nil {
-		r.failed.Inc()
+		r.queriesFailed.Inc()
 		r.dialer.drop(addr)
 		return
 	}
-	if cfg != nil && cfg.Validate() == nil && r.source.ApplyIfNewer(cfg) {
-		r.taken.Inc()
-		r.log.WithField("peer", addr).WithField("version", cfg.Version).Info("configuration taken from a peer")
+	if cfg != nil && cfg.Validate() == nil && r.store.ApplyIfNewer(cfg) {
+		r.configsTaken.Inc()
+		r.log.WithField("peer", addr).WithField("version", cfg.Version).Info("configuration received from a peer")
 	}
 }
 
-// accept serves peers' connections until ctx ends.
-func (r *Relay) accept(ctx context.Context) {
+// acceptConns accepts and serves the connections of peers until ctx ends.
+func (r *Relay) acceptConns(ctx context.Context) {
 	for {
 		conn, err := r.listener.Accept(ctx)
 		if err != nil {
 			return
 		}
 		r.wg.Add(1)
-		go func() { defer r.wg.Done(); r.serve(ctx, conn) }()
+		go func() { defer r.wg.Done(); r.serveConn(ctx, conn) }()
 	}
 }
 
-func (r *Relay) serve(ctx context.Context, conn *quic.Conn) {
+// serveConn answers the queries on a peer's connection until the connection or ctx ends.
+func (r *Relay) serveConn(ctx context.Context, conn *quic.Conn) {
 	defer func() { _ = conn.CloseWithError(codeStopping, "") }()
 	for {
 		stream, err := conn.AcceptStream(ctx)
@@ -244,7 +260,7 @@
 			return
 		}
 		_ = stream.SetDeadline(time.Now().Add(exchangeTimeout))
-		if r.answer(stream, conn.RemoteAddr().String()) != nil {
+		if r.handleQuery(stream, conn.RemoteAddr().String()) != nil {
 			stream.CancelRead(quic.StreamErrorCode(codeFailed))
 			stream.CancelWrite(quic.StreamErrorCode(codeFailed))
 		}
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -21,19 +21,19 @@
 
 const testSecret = "a secret for these tests"
 
-// store is a Source that keeps the newest version offered.
-type store struct {
+// memoryStore is a ConfigStore that keeps the newest version in memory.
+type memoryStore struct {
 	mu  sync.Mutex
 	cfg *topology.Config
 }
 
-func (s *store) Current() *topology.Config {
+func (s *memoryStore) Current() *topology.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cfg
 }
 
-func (s *store) ApplyIfNewer(c *topology.Config) bool {
+func (s *memoryStore) ApplyIfNewer(c *topology.Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cfg != nil && c.Version <= s.cfg.Version {
@@ -43,60 +43,58 @@
 	return true
 }
 
-// startRelay runs a relay holding version v (0: none) until the test ends.
-func startRelay(t *testing.T, secret string, v int64, peers ...string) (*Relay, *store) {
-	src := &store{}
-	if v > 0 {
-		src.cfg = &topology.Config{Version: v}
+// startRelay runs a relay that has the given version of the configuration (0: none) until the test
+// ends.
+func startRelay(t *testing.T, secret string, version int64, peers ...string) (*Relay, *memoryStore) {
+	store := &memoryStore{}
+	if version > 0 {
+		store.cfg = &topology.Config{Version: version}
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := Options{Listen: "127.0.0.1:0", Peers: peers, Secret: secret, Interval: 20 * time.Millisecond}
-	r, err := New(o, src, quarantine.NewTable(), metrics.NewSet(), logrus.NewEntry(log))
+	r, err := New(o, store, quarantine.NewTable(), metrics.NewSet(), logrus.NewEntry(log))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return r, src
+	return r, store
 }
 
-// TestNewerConfigurationSpreads checks that a version held by one peer
-// reaches the others, that an older one replaces nothing, and that a peer
-// restarted on the same address is asked again.
-func TestNewerConfigurationSpreads(t *testing.T) {
+// Guards against a configuration that one peer has and that does not reach the others, and against
+// a newer configuration being replaced by an older one, when a peer with the older one is queried.
+func TestNewestConfigurationReachesAllPeers(t *testing.T) {
 	newest, _ := startRelay(t, testSecret, 7)
-	older, olderSrc := startRelay(t, testSecret, 3, newest.Addr())
-	_, fresh := startRelay(t, testSecret, 0, older.Addr())
-	require.Eventually(t, func() bool { return version(olderSrc.Current()) == 7 }, 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return version(fresh.Current()) == 7 }, 5*time.Second, time.Millisecond)
+	older, olderStore := startRelay(t, testSecret, 3, newest.Addr())
+	_, emptyStore := startRelay(t, testSecret, 0, older.Addr())
+	require.Eventually(t, func() bool { return versionOf(olderStore.Current()) == 7 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return versionOf(emptyStore.Current()) == 7 }, 5*time.Second, time.Millisecond)
 	newest.SetPeers([]string{older.Addr()})
-	require.Eventually(t, func() bool { return newest.asked.Get() > 3 }, 5*time.Second, time.Millisecond)
-	require.Zero(t, newest.taken.Get(), "took a configuration it had")
+	require.Eventually(t, func() bool { return newest.queriesSent.Get() > 3 }, 5*time.Second, time.Millisecond)
+	require.Zero(t, newest.configsTaken.Get(), "put a configuration in force that is not newer")
 }
 
-// TestPeerWithoutTheSecretGetsAndGivesNothing proves that only entry
-// instances of the installation relay configurations.
-//
-// Symptom: a configuration nobody accepted is in force.
-// Sequence: two processes with another secret are among an entry instance's
-// peers; one offers version 99, the other has nothing and asks.
-// Cause it guards against: trusting whoever answers at a peer's address.
-func TestPeerWithoutTheSecretGetsAndGivesNothing(t *testing.T) {
+// Guards against putting a configuration in force that no operator has submitted, and against
+// sending a configuration to a process outside the installation. This happens if whatever process
+// answers at a peer's address is trusted. Two processes here have another secret: one is a peer of
+// the entry instance and has version 99; the other has no configuration and queries the instance.
+func TestPeerWithAnotherSecretNeitherSendsNorReceivesConfiguration(t *testing.T) {
 	const otherSecret = "another installation's secret"
-	giver, _ := startRelay(t, otherSecret, 99)
-	honest, honestSrc := startRelay(t, testSecret, 1, giver.Addr())
-	taker, takerSrc := startRelay(t, otherSecret, 0, honest.Addr())
-	require.Eventually(t, func() bool { return honest.failed.Get() >= 3 && taker.failed.Get() >= 3 }, 10*time.Second, time.Millisecond)
-	require.Equal(t, int64(1), version(honestSrc.Current()))
-	require.Zero(t, version(takerSrc.Current()))
-	require.Zero(t, honest.served.Get())
-	require.Zero(t, giver.served.Get())
+	untrustedSender, _ := startRelay(t, otherSecret, 99)
+	trusted, trustedStore := startRelay(t, testSecret, 1, untrustedSender.Addr())
+	untrustedReceiver, untrustedStore := startRelay(t, otherSecret, 0, trusted.Addr())
+	require.Eventually(t, func() bool { return trusted.queriesFailed.Get() >= 3 && untrustedReceiver.queriesFailed.Get() >= 3 }, 10*time.Second, time.Millisecond)
+	require.Equal(t, int64(1), versionOf(trustedStore.Current()))
+	require.Zero(t, versionOf(untrustedStore.Current()))
+	require.Zero(t, trusted.configsServed.Get())
+	require.Zero(t, untrustedSender.configsServed.Get())
 }
 
-// BenchmarkPack5200Leafs measures what a node that has lost the service
-// takes from a peer per change, at the two-year size.
-func BenchmarkPack5200Leafs(b *testing.B) {
+// BenchmarkGzipConfig5200Leafs measures the size of the configuration that a node without a
+// connection to the configuration service receives from a peer for each change, for an
+// installation of the size that is expected in two years.
+func BenchmarkGzipConfig5200Leafs(b *testing.B) {
 	const leafs = 5200
 	cfg := &topology.Config{Version: 1, Deployments: []topology.Deployment{{Name: "d", Indexes: []topology.Index{{Name: "i", Snapshot: 1}}}}}
 	ix := &cfg.Deployments[0].Indexes[0]
@@ -109,7 +107,7 @@
 	}
 	var size int
 	for b.Loop() {
-		packed, err := pack(cfg)
+		packed, err := gzipConfig(cfg)
 		require.NoError(b, err)
 		size = len(packed)
 	}
@@ -119,8 +117,8 @@
 	b.ReportMetric(float64(len(plain)), "json_bytes")
 }
 
-// FuzzReadReply checks that no bytes from a peer crash the reader.
-func FuzzReadReply(f *testing.F) {
+// FuzzReadResponse checks that no response of a peer crashes the decoder.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte{})
 	mutate.Add(f,
 		[]byte(`{"version":3}`),
@@ -128,6 +126,6 @@
 		[]byte(`{"version":3,"config_gz":"H4sIAAAAAAAA"}`),
 	)
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		_, _, _ = readReply(bytes.NewReader(raw))
+		_, _, _ = readResponse(bytes.NewReader(raw))
 	})
 }
