--- a/pkg/wire/paths.go
+++ b/pkg/wire/paths.go
@@ -1,14 +1,14 @@
 package wire
 
-// Paths of the configuration service and of the instance list, as the project's
-// stand-in serves them.
+// Paths of the configuration service and of the instance list, as served by this project's
+// stand-in for them.
 const (
 	PathConfig         = "/v1/config"
 	PathConfigWatch    = "/v1/config/watch"
 	PathConfigPatch    = "/v1/config/patch"
 	PathInstances      = "/v1/instances"
 	PathInstanceReport = "/v1/instances/report"
-	// PathInstanceWatch long-polls the instance list for rows changed since a
+	// PathInstanceWatch long-polls the instance list for the rows that changed after a
 	// version.
 	PathInstanceWatch = "/v1/instances/watch"
 )
--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire owns the typed JSON messages that cross process boundaries:
-// caller to entry instance, entry instance to backend server, and the
-// platform's configuration service and instance list.
+// Package wire defines the JSON messages between processes: between callers and entry
+// instances, between entry instances and backend servers, and those of the platform's
+// configuration service and instance list.
 package wire
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/topology"
 )
 
-// Header names used between callers and entry instances.
+// HTTP headers between callers and entry instances.
 const (
 	HeaderClientID       = "X-Client-App"
 	HeaderClientKey      = "X-Client-Key"
@@ -18,8 +18,9 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// SearchRequest is a caller's query, fanned out to every shard of Index.
-// TimeoutMs is the caller's budget in milliseconds; 0 takes the entry
+// SearchRequest is a caller's query, which is fanned out to every shard of Index.
+// Limit is the maximum number of hits per shard; 0: no limit.
+// TimeoutMs is the time that the caller waits, in milliseconds; 0: the entry
 // instance's default.
 type SearchRequest struct {
 	Deployment string `json:"deployment"`
@@ -29,8 +30,9 @@
 	TimeoutMs  int    `json:"timeout_ms,omitempty"`
 }
 
-// HoldRequest is a not-repeatable request (a bed hold, a purchase-driving
-// entry) against one shard. It runs at most once per IdempotencyKey.
+// HoldRequest is a not-repeatable request to one shard, for example to hold a bed or
+// to add an entry that drives purchases. It runs at most once per IdempotencyKey.
+// TimeoutMs is as in SearchRequest.
 type HoldRequest struct {
 	Deployment     string `json:"deployment"`
 	Index          string `json:"index"`
@@ -47,18 +49,19 @@
 	Score int    `json:"score"`
 }
 
-// MissingShard names a shard that an answer does not cover and why.
+// MissingShard is a shard that an answer does not cover, with the reason as a code
+// and as text.
 type MissingShard struct {
 	Shard  string       `json:"shard"`
 	Code   errcode.Code `json:"code"`
 	Reason string       `json:"reason"`
 }
 
-// Answer is the one answer a caller gets. Code is IY0000 when the request
-// ran; Covered and Missing together list every shard of the index, and
-// Partial is set when Missing is not empty (the caller's policy decides
-// whether a partial answer is used or dropped).
-// RetryAfterMs, when set, tells the caller when to come back.
+// Answer is the answer to a caller's request. Code is IY0000 if the request ran.
+// In the answer to a search, Covered and Missing together list every shard of the
+// index, and Partial is set if Missing is not empty; the caller's policy decides
+// whether to use a partial answer. Held is the result of a hold. RetryAfterMs is the
+// time in milliseconds after which the caller should retry; 0: no hint.
 type Answer struct {
 	RequestID    string         `json:"request_id"`
 	Code         errcode.Code   `json:"code"`
@@ -72,7 +75,9 @@
 	RetryAfterMs int            `json:"retry_after_ms,omitempty"`
 }
 
-// HoldResult is the outcome of a hold as the backend server recorded it.
+// HoldResult is the outcome of a hold as the backend server recorded it. Remaining is
+// the number of units of the item that are left. Replayed reports that the hold ran for
+// an earlier request with the same idempotency key.
 type HoldResult struct {
 	Item      string `json:"item"`
 	Granted   bool   `json:"granted"`
@@ -89,8 +94,9 @@
 	LeafHold   LeafKind = "hold"
 )
 
-// LeafRequest is what an entry instance sends to one leaf. DeadlineUnixMs
-// is absolute; a backend server does not start work past it.
+// LeafRequest is the request of an entry instance to one leaf. DeadlineUnixMs is an
+// absolute time; a backend server does not start to work on the request after it.
+// FromZone is the availability zone of the entry instance.
 type LeafRequest struct {
 	RequestID      string   `json:"request_id"`
 	Kind           LeafKind `json:"kind"`
@@ -105,9 +111,9 @@
 	FromZone       string   `json:"from_zone,omitempty"`
 }
 
-// LeafResponse is a leaf's reply. It echoes RequestID, Shard and Snapshot so
-// the entry instance can refuse a reply meant for another request.
-// Draining tells the entry instance that the backend server is leaving.
+// LeafResponse is a leaf's reply. It repeats RequestID, Shard and Snapshot of the
+// request, so that the entry instance can reject a reply to another request.
+// Draining reports that the backend server is draining and should get no new requests.
 type LeafResponse struct {
 	RequestID string       `json:"request_id"`
 	Shard     string       `json:"shard"`
@@ -117,12 +123,13 @@
 	Hits      []Hit        `json:"hits,omitempty"`
 	Held      *HoldResult  `json:"held,omitempty"`
 	Draining  bool         `json:"draining,omitempty"`
-	// Load is what the backend server says of its own load; nil: nothing.
+	// Load is the load that the backend server reports; nil: it reports none.
 	Load *Load `json:"load,omitempty"`
 }
 
-// Load is a backend server's load: its requests of all callers, and how many run at once. Pace is
-// how long work takes there now, in multiples of the usual time; 0: not said.
+// Load is the load of a backend server by the requests of all its callers. Running and Waiting
+// count its requests, and Slots is the maximum number that run at once. Slowdown is the current
+// duration of work in multiples of the usual duration; 0: unknown.
 type Load struct {
 	Running  int     `json:"running"`
 	Waiting  int     `json:"waiting"`
@@ -130,8 +137,8 @@
 	Slowdown float64 `json:"pace,omitempty"`
 }
 
-// CancelRequest tells a backend server that the replies of one search for
-// the listed shards are no longer waited for. A hold is never cancelled.
+// CancelRequest tells a backend server that the entry instance no longer waits for
+// the replies to one search for the listed shards. A hold is never cancelled.
 type CancelRequest struct {
 	RequestID string   `json:"request_id"`
 	Shards    []string `json:"shards"`
@@ -159,9 +166,9 @@
 	Instances []Instance `json:"instances"`
 }
 
-// InstanceDelta is an instance-list watch reply: the rows reported since
-// the reader's version, oldest first (a later row for the same instance
-// replaces an earlier one), and the version they bring the reader to.
+// InstanceDelta is the reply to a watch of the instance list: the rows that were reported
+// after the reader's version, oldest first, and the version that the reader has once it
+// has applied them. A later row for the same instance replaces an earlier one.
 type InstanceDelta struct {
 	Version int64      `json:"version"`
 	Rows    []Instance `json:"rows,omitempty"`
@@ -174,12 +181,12 @@
 	Version int64        `json:"version"`
 }
 
-// ConfigReply wraps a configuration read or watch. Version is the version
-// the service has. A watch answers with Patches, applied in order to the
-// reader's version, when that is cheaper than the whole Config; with
-// neither when it ends with nothing newer than the reader's. Digest is that of
-// the configuration to which the patches lead: a service that was restored from
-// a backup gives out versions again.
+// ConfigReply is the reply to a read or a watch of the configuration. Version is the
+// version that the service has. The reply to a watch has Patches, to be applied in order
+// to the reader's version, if these are cheaper than the whole Config. It has neither
+// if the watch ended without a version newer than the reader's. Digest is the digest of
+// the configuration that results from the patches. It is needed because a service that
+// was restored from a backup issues version numbers again that it had already used.
 type ConfigReply struct {
 	Version int64            `json:"version"`
 	Config  *topology.Config `json:"config,omitempty"`
@@ -187,15 +194,15 @@
 	Digest  uint64           `json:"digest,omitempty"`
 }
 
-// Health is a process's health endpoint reply.
+// Health is the reply of a process's health endpoint.
 type Health struct {
 	Name     string `json:"name"`
 	State    string `json:"state"`
 	InFlight int64  `json:"in_flight"`
 }
 
-// SortHits orders hits best score first, then by shard and item, so that a
-// merged answer is the same whatever order the shards replied in.
+// SortHits sorts hits by descending score, then by shard and item, so that a merged
+// answer does not depend on the order in which the shards replied.
 func SortHits(h []Hit) {
 	sort.Slice(h, func(i, j int) bool {
 		if h[i].Score != h[j].Score {
