--- a/pkg/topology/digest.go
+++ b/pkg/topology/digest.go
@@ -6,11 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest tells configurations of the same version apart.
+// Digest returns a hash of the configuration, which tells configurations of the same version
+// apart.
 func (c *Config) Digest() uint64 {
 	raw, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // A configuration has no values that JSON lacks.
+		panic(err) // Cannot happen: a configuration has only values that JSON can represent.
 	}
 	return xxhash.Sum64(raw)
 }
--- a/pkg/topology/patch.go
+++ b/pkg/topology/patch.go
@@ -7,26 +7,27 @@
 	"github.com/indigoyoke/indigoyoke/pkg/errcode"
 )
 
-// OpKind names one kind of patch operation.
+// OpKind is the kind of a patch operation.
 type OpKind string
 
-// The patch operations an operator may submit.
+// The kinds of patch operations that an operator can submit.
 const (
-	// OpSetSnapshot puts index snapshot version Snapshot in force.
+	// OpSetSnapshot puts version Snapshot of an index in force.
 	OpSetSnapshot OpKind = "set_snapshot"
-	// OpSetLeafs replaces the leafs of one shard (repartitioning).
+	// OpSetLeafs replaces the leafs of one shard, for repartitioning.
 	OpSetLeafs OpKind = "set_leafs"
 	// OpPutClient adds or replaces a client application.
 	OpPutClient OpKind = "put_client"
 	// OpRemoveClient removes a client application.
 	OpRemoveClient OpKind = "remove_client"
-	// OpEvacuate keeps new requests from the backend servers of an availability zone, until
-	// OpReadmit takes it back. Both name no deployment: zones are the installation's.
+	// OpEvacuate stops new requests to the backend servers of an availability zone, until
+	// OpReadmit ends the evacuation. Neither has a deployment, because all deployments of an
+	// installation share its zones.
 	OpEvacuate OpKind = "evacuate"
 	OpReadmit  OpKind = "readmit"
 )
 
-// Op is one operation of a patch. Which fields are read depends on Kind.
+// Op is one operation of a patch. Kind determines which of the other fields are used.
 type Op struct {
 	Kind       OpKind     `json:"kind" yaml:"kind"`
 	Deployment string     `json:"deployment" yaml:"deployment"`
@@ -39,8 +40,8 @@
 	Zone       string     `json:"zone,omitempty" yaml:"zone,omitempty"`
 }
 
-// Patch is a list of operations made against configuration version
-// BaseVersion. It is accepted only while BaseVersion is the current version.
+// Patch is a list of operations for version BaseVersion of the configuration. It is
+// accepted only while BaseVersion is the current version.
 type Patch struct {
 	BaseVersion int64 `json:"base_version" yaml:"base_version"`
 	Ops         []Op  `json:"ops" yaml:"ops"`
@@ -59,10 +60,10 @@
 	return &out
 }
 
-// Apply returns the configuration that results from applying p to c, with
-// Version one higher. It refuses with errcode.PatchConflict when p was made
-// against another version and errcode.PatchInvalid when an operation names
-// something unknown or the result fails Validate.
+// Apply returns the configuration that results from applying p to c, with Version one
+// higher. The error is errcode.PatchConflict if p was made for another version, and
+// errcode.PatchInvalid if an operation refers to an unknown object or the result fails
+// Validate.
 func (c *Config) Apply(p Patch) (*Config, error) {
 	if p.BaseVersion != c.Version {
 		return nil, errcode.New(errcode.PatchConflict, "patch made against v%d, current is v%d", p.BaseVersion, c.Version)
@@ -80,6 +81,7 @@
 	return next, nil
 }
 
+// apply changes c by one operation.
 func (c *Config) apply(op Op) error {
 	switch op.Kind {
 	case OpEvacuate:
@@ -125,11 +127,12 @@
 	return nil
 }
 
-// readmit takes an availability zone off the evacuated ones.
+// readmit removes an availability zone from the evacuated zones.
 func (c *Config) readmit(zone string) {
 	c.EvacuatedZones = slices.DeleteFunc(c.EvacuatedZones, func(z string) bool { return z == zone })
 }
 
+// removeClient removes the client application with the given ID, if there is one.
 func (d *Deployment) removeClient(id string) {
 	kept := d.Clients[:0]
 	for _, a := range d.Clients {
--- a/pkg/topology/topology.go
+++ b/pkg/topology/topology.go
@@ -1,8 +1,8 @@
-// Package topology owns the deployment configuration that operators publish
-// on the platform's configuration service: brand deployments, their indexes
-// and shards, the leafs that hold each shard on backend servers, and the
-// client applications allowed to search. A Config is immutable once built;
-// every change is a new Config with a higher Version.
+// Package topology defines the deployment configuration that operators publish on the
+// platform's configuration service: brand deployments, their indexes and shards, the
+// leafs that hold each shard on backend servers, and the client applications that may
+// search. A Config is immutable once built; every change is a new Config with a higher
+// Version.
 package topology
 
 import (
@@ -13,40 +13,40 @@
 	"github.com/indigoyoke/indigoyoke/pkg/errcode"
 )
 
-// Config is one numbered version of the whole deployment configuration.
+// Config is one version of the whole deployment configuration.
 type Config struct {
 	Version     int64           `json:"version" yaml:"version"`
 	Deployments []Deployment    `json:"deployments" yaml:"deployments"`
 	Backends    []BackendServer `json:"backends" yaml:"backends"`
-	// EvacuatedZones are availability zones whose backend servers are to get no new requests.
+	// EvacuatedZones lists the availability zones whose backend servers get no new requests.
 	EvacuatedZones []string `json:"evacuated,omitempty" yaml:"evacuated,omitempty"`
 }
 
-// Deployment is a brand deployment: one storefront's indexes and the client
-// applications allowed to search them.
+// Deployment is a brand deployment: the indexes of one storefront and the client
+// applications that may search them.
 type Deployment struct {
 	Name    string      `json:"name" yaml:"name"`
 	Indexes []Index     `json:"indexes" yaml:"indexes"`
 	Clients []ClientApp `json:"clients" yaml:"clients"`
 }
 
-// Index is a searchable index split into shards. Snapshot is the index
-// snapshot version in force: every answer is drawn from exactly this one.
+// Index is a searchable index that is split into shards. Snapshot is the version of the
+// index snapshot in force: every answer comes from this version only.
 type Index struct {
 	Name     string  `json:"name" yaml:"name"`
 	Snapshot int64   `json:"snapshot" yaml:"snapshot"`
 	Shards   []Shard `json:"shards" yaml:"shards"`
 }
 
-// Shard is one partition of an index; Leafs names the backend servers that
-// hold a replica of it. Leafs[0] is the primary: the only replica that
-// takes not-repeatable requests.
+// Shard is one partition of an index. Leafs lists the names of the backend servers that
+// hold a replica of it. Leafs[0] is the primary, the only replica that receives
+// not-repeatable requests.
 type Shard struct {
 	ID    string   `json:"id" yaml:"id"`
 	Leafs []string `json:"leafs" yaml:"leafs"`
 }
 
-// Primary returns the shard restricted to its primary leaf.
+// Primary returns a copy of the shard with its primary leaf only.
 func (s Shard) Primary() Shard {
 	if len(s.Leafs) == 0 {
 		return s
@@ -54,9 +54,8 @@
 	return Shard{ID: s.ID, Leafs: s.Leafs[:1]}
 }
 
-// ClientApp is a client application: an ID, its shared key and the indexes it
-// may search. Holds marks an application allowed to send not-repeatable
-// requests.
+// ClientApp is a client application: its ID, its shared key and the names of the indexes
+// that it may search. MayHold reports whether it may send not-repeatable requests.
 type ClientApp struct {
 	ID      string   `json:"id" yaml:"id"`
 	Key     string   `json:"key" yaml:"key"`
@@ -64,9 +63,9 @@
 	MayHold bool     `json:"holds" yaml:"holds"`
 }
 
-// BackendServer is one backend server (a unit) in an availability zone.
-// MaxConns is how many connections it takes from all callers together; 0:
-// not published.
+// BackendServer is one backend server (a unit) in an availability zone. MaxConns is the
+// maximum number of connections that it accepts from all callers together; 0: not
+// published.
 type BackendServer struct {
 	Name     string `json:"name" yaml:"name"`
 	Zone     string `json:"zone" yaml:"zone"`
@@ -74,7 +73,7 @@
 	MaxConns int    `json:"max_conns,omitempty" yaml:"max_conns,omitempty"`
 }
 
-// find returns the first item whose key is want.
+// find returns a pointer to the first item whose key is want.
 func find[T any](items []T, key func(*T) string, want string) (*T, bool) {
 	for i := range items {
 		if key(&items[i]) == want {
@@ -109,11 +108,13 @@
 	return find(ix.Shards, func(s *Shard) string { return s.ID }, id)
 }
 
-// MayAccess reports whether the client application may search the index.
+// MayAccess reports whether the client application may send requests to the index.
 func (a *ClientApp) MayAccess(index string) bool { return slices.Contains(a.Indexes, index) }
 
-// Validate checks that names are unique and every leaf names a known backend
-// server. It returns an error carrying errcode.PatchInvalid.
+// Validate checks that the names of backend servers, deployments and indexes are unique,
+// that backend servers have all required fields, and that leafs, clients and evacuated
+// zones refer only to existing backend servers, indexes and zones. Its errors have the
+// code errcode.PatchInvalid.
 func (c *Config) Validate() error {
 	backends := map[string]bool{}
 	for _, b := range c.Backends {
@@ -143,6 +144,8 @@
 	return nil
 }
 
+// validate checks the indexes and client applications of a deployment. backends is the set of
+// names of all backend servers.
 func (d *Deployment) validate(backends map[string]bool) error {
 	indexes := map[string]bool{}
 	for _, ix := range d.Indexes {
@@ -168,7 +171,7 @@
 	return nil
 }
 
-// Zones lists the availability zones of the backend servers, sorted.
+// Zones returns the availability zones of the backend servers in sorted order.
 func (c *Config) Zones() []string {
 	set := map[string]bool{}
 	for _, b := range c.Backends {
@@ -182,7 +185,7 @@
 	return out
 }
 
-// String is a short description for logs.
+// String returns a short description for logs.
 func (c *Config) String() string {
 	return fmt.Sprintf("config v%d (%d deployments, %d backend servers)", c.Version, len(c.Deployments), len(c.Backends))
 }
