--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -127,9 +127,10 @@
 	Load *Load `json:"load,omitempty"`
 }
 
-// Load is the load of a backend server by the requests of all its callers. Running and Waiting
-// count its requests, and Slots is the maximum number that run at once. Slowdown is the current
-// duration of work in multiples of the usual duration; 0: unknown.
+// Load is the load that the requests of all callers put on a backend server. Running and Waiting
+// are the numbers of requests that run and that wait to run, and Slots is the maximum number that
+// run at once. Slowdown is the current duration of work in multiples of the usual duration; 0:
+// unknown.
 type Load struct {
 	Running  int     `json:"running"`
 	Waiting  int     `json:"waiting"`
@@ -184,7 +185,7 @@
 // ConfigReply is the reply to a read or a watch of the configuration. Version is the
 // version that the service has. The reply to a watch has Patches, to be applied in order
 // to the reader's version, if these are cheaper than the whole Config. It has neither
-// if the watch ended without a version newer than the reader's. Digest is the digest of
+// Patches nor Config if the watch ended without a newer version. Digest is the digest of
 // the configuration that results from the patches. It is needed because a service that
 // was restored from a backup issues version numbers again that it had already used.
 type ConfigReply struct {
