--- a/pkg/cli/bench.go
+++ b/pkg/cli/bench.go
@@ -129,8 +129,8 @@
 	before := received(c)
 	rep := RunLoad(cl, addr, req, requests, concurrency, qps)
 	run := BenchRun{Load: rep}
-	if rep.ShardsAsk > 0 {
-		run.ExtraLoad = float64(received(c)-before)/float64(rep.ShardsAsk) - 1
+	if rep.ShardsRequested > 0 {
+		run.ExtraLoad = float64(received(c)-before)/float64(rep.ShardsRequested) - 1
 	}
 	return run, nil
 }
--- a/pkg/cli/load.go
+++ b/pkg/cli/load.go
@@ -24,13 +24,13 @@
 
 // LoadReport is what a load run measured.
 type LoadReport struct {
-	Requests  int64
-	Errors    int64
-	P50Ms     float64
-	P99Ms     float64
-	P999Ms    float64
-	Coverage  float64
-	ShardsAsk int64
+	Requests        int64
+	Errors          int64
+	P50Ms           float64
+	P99Ms           float64
+	P999Ms          float64
+	Coverage        float64
+	ShardsRequested int64
 }
 
 // LoadCmd drives a bounded number of searches at an entry instance.
@@ -98,7 +98,7 @@
 		}()
 	}
 	wg.Wait()
-	r := LoadReport{Requests: int64(n), Errors: errs.Load(), ShardsAsk: asked.Load()}
+	r := LoadReport{Requests: int64(n), Errors: errs.Load(), ShardsRequested: asked.Load()}
 	r.P50Ms = float64(h.ValueAtQuantile(50)) / 1000
 	r.P99Ms = float64(h.ValueAtQuantile(99)) / 1000
 	r.P999Ms = float64(h.ValueAtQuantile(99.9)) / 1000
--- a/pkg/cli/node_test.go
+++ b/pkg/cli/node_test.go
@@ -88,9 +88,9 @@
 			require.NoError(t, err)
 			set, err := settings.LoadNode(path)
 			require.NoError(t, err)
-			require.Equal(t, map[string]string{"a": "north", "b": "north"}, set.Bounds.Regions)
+			require.Equal(t, map[string]string{"a": "north", "b": "north"}, set.Declared.Regions)
 			if bounds != nil {
-				require.Equal(t, []any{1.5, 5.0, 5000}, []any{set.Bounds.ColdFactor, set.Bounds.ColdSlack, set.Bounds.EvacuateMs})
+				require.Equal(t, []any{1.5, 5.0, 5000}, []any{set.Declared.ColdFactor, set.Declared.ColdSlack, set.Declared.EvacuateMs})
 			}
 		})
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -83,7 +83,7 @@
 	if e.gateway, err = gateway.New(gatewayOptions(s), e.table, l, e.decisions, gateway.NewStats(e.metrics)); err != nil {
 		return nil, err
 	}
-	e.gateway.Quarantine().SetMaxDuration(settings.Duration(s.QuarantineMostMs), time.Now())
+	e.gateway.Quarantine().SetMaxDuration(settings.Duration(s.MaxQuarantineMs), time.Now())
 	if e.platformHTTP, err = service.NewClient(2, time.Second); err != nil {
 		return nil, err
 	}
--- a/pkg/entry/handlers.go
+++ b/pkg/entry/handlers.go
@@ -20,9 +20,9 @@
 )
 
 func (e *Entry) routes() {
-	e.srv.H.POST(PathSearch, e.handleSearch)
-	e.srv.H.POST(PathHold, e.handleHold)
-	e.srv.H.GET(service.PathHealth, e.handleHealth)
+	e.srv.Hertz.POST(PathSearch, e.handleSearch)
+	e.srv.Hertz.POST(PathHold, e.handleHold)
+	e.srv.Hertz.GET(service.PathHealth, e.handleHealth)
 }
 
 func (e *Entry) handleHealth(_ context.Context, c *app.RequestContext) {
@@ -122,7 +122,7 @@
 	if e.pause.check() {
 		return nil, ptr(e.refusal(id, errcode.EntrySettling, errcode.EntrySettling.Name()))
 	}
-	if service.CallerGone(ctx) {
+	if service.CallerDisconnected(ctx) {
 		e.stats.callersLeft.Inc()
 		return nil, ptr(e.refusal(id, errcode.CallerDisconnected, errcode.CallerDisconnected.Name()))
 	}
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -75,11 +75,11 @@
 	n := &Node{path: path, metrics: metrics.NewSet(), started: time.Now()}
 	n.set.Store(set)
 	n.log = oplog.New(os.Stdout, oplog.Fields{"instance": set.Name, "zone": set.Zone}, oplog.Options{
-		LinesPerSecond: set.Log.LinesPerSecond, Burst: set.Log.Burst, Buffer: set.Log.Buffer, Least: level,
+		LinesPerSecond: set.Log.LinesPerSecond, Burst: set.Log.Burst, Buffer: set.Log.Buffer, MinLevel: level,
 	})
 	n.pool = leafconn.New(leafconn.Options{
 		DialTimeout: settings.Duration(set.Leafs.DialTimeoutMs),
-		IdleTimeout: settings.Duration(set.Leafs.IdleMs),
+		IdleTimeout: settings.Duration(set.Leafs.IdleTimeoutMs),
 		MaxBody:     int64(set.Leafs.MaxReplyBytes),
 		Log:         n.log,
 	})
@@ -88,7 +88,7 @@
 	if n.gateway, err = gateway.New(gatewayOptions(set), n.table, n.leafs, n.log, gateway.NewStats(n.metrics)); err != nil {
 		return nil, err
 	}
-	n.gateway.Quarantine().SetMaxDuration(settings.Duration(set.Limits.QuarantineMostMs), time.Now())
+	n.gateway.Quarantine().SetMaxDuration(settings.Duration(set.Limits.MaxQuarantineMs), time.Now())
 	n.follower = discovery.NewFollower(adapter.Source(set.Store.Address, n.log), n, storeOptions(set), n.log)
 	gaps := n.metrics.NewHistogram("node_store_proof_gap_seconds")
 	n.follower.OnProof(func(gap time.Duration) { gaps.Update(gap.Seconds()) })
@@ -112,39 +112,39 @@
 func tableOptions(set *settings.Node) replica.Options {
 	return replica.Options{
 		Zone:            set.Zone,
-		Regions:         set.Bounds.Regions,
+		Regions:         set.Declared.Regions,
 		LapseGrace:      settings.Duration(set.Leafs.LapseGraceMs),
 		ConnsPerLeaf:    set.Leafs.ConnsPerLeaf,
 		Instances:       set.Leafs.Instances,
 		OtherZoneFactor: set.Leafs.OtherZoneFactor,
 		Budget: replica.BudgetOptions{
-			Ratio:  set.Bounds.SecondRatio,
-			Window: settings.Duration(set.Bounds.SecondWindowMs),
-			Burst:  set.Second.Burst,
+			Ratio:  set.Declared.SecondRequestRatio,
+			Window: settings.Duration(set.Declared.SecondRequestWindowMs),
+			Burst:  set.SecondRequests.Burst,
 		},
 	}
 }
 
 func gatewayOptions(set *settings.Node) gateway.Options {
-	margin := settings.Duration(set.Answer.MarginMs)
+	margin := settings.Duration(set.Answers.MarginMs)
 	return gateway.Options{
 		Fanout: fanout.Options{
-			AnswerMargin: margin, PartialAnswers: set.Answer.Partial,
-			HedgeTypicalFactor: set.Second.HedgeAtTypical, HedgeTargetFraction: set.Second.HedgeAtTarget,
-			MinHedgeDelay:         settings.Duration(set.Second.HedgeLeastMs),
-			RequestDeadlineFactor: set.Answer.UsefulTarget, MinAdmitProbability: set.Answer.LeastChance, LateWaitFraction: set.Answer.LateWait, MinReleaseProbability: set.Answer.HeldChance, HeldWaitFraction: set.Answer.HeldWait,
+			AnswerMargin: margin, PartialAnswers: set.Answers.Partial,
+			HedgeTypicalFactor: set.SecondRequests.HedgeTypicalFactor, HedgeTargetFraction: set.SecondRequests.HedgeTargetFraction,
+			MinHedgeDelay:         settings.Duration(set.SecondRequests.MinHedgeDelayMs),
+			RequestDeadlineFactor: set.Answers.RequestDeadlineFactor, MinAdmitProbability: set.Answers.MinAdmitProbability, LateWaitFraction: set.Answers.LateWaitFraction, MinReleaseProbability: set.Answers.MinReleaseProbability, HeldWaitFraction: set.Answers.HeldWaitFraction,
 		},
 		MaxInFlight: set.Limits.MaxInFlight, Workers: set.Limits.Workers,
-		DefaultTimeout: settings.Duration(set.Answer.DefaultPatienceMs),
+		DefaultTimeout: settings.Duration(set.Answers.DefaultTimeoutMs),
 		AnswerMargin:   margin,
-		ColdFactor:     set.Bounds.ColdFactor, ColdSlack: set.Bounds.ColdSlack,
-		RetryAfter: settings.Duration(set.Answer.RetryAfterMs),
+		ColdFactor:     set.Declared.ColdFactor, ColdSlack: set.Declared.ColdSlack,
+		RetryAfter: settings.Duration(set.Answers.RetryAfterMs),
 	}
 }
 
 func storeOptions(set *settings.Node) discovery.Options {
 	return discovery.Options{
-		Pace: set.Pace(), OutageThreshold: settings.Duration(set.Store.AwayAfterMs),
+		Pace: set.LongPollOptions(), OutageThreshold: settings.Duration(set.Store.OutageThresholdMs),
 		LostEntryGrace: settings.Duration(set.Leafs.LapseGraceMs),
 	}
 }
@@ -188,7 +188,7 @@
 	n.draining.Store(true)
 	n.peering.leave()
 	n.front.Drain()
-	time.Sleep(settings.Duration(set.Stop.LeaveMs))
+	time.Sleep(settings.Duration(set.Stop.LameDuckMs))
 	ctx, cancel := context.WithTimeout(context.Background(), set.StopBudget())
 	defer cancel()
 	n.front.Stop(ctx)
@@ -204,7 +204,7 @@
 // a stop signal comes.
 func (n *Node) waitForStop(signals <-chan os.Signal) {
 	changes := newFileWatch(n.path, n.log)
-	poll := time.NewTicker(settings.Duration(n.set.Load().Reload.EveryMs))
+	poll := time.NewTicker(settings.Duration(n.set.Load().Reload.IntervalMs))
 	defer poll.Stop()
 	for {
 		select {
@@ -225,7 +225,7 @@
 
 // runTicks runs the systems over the tables each tick.
 func (n *Node) runTicks(ctx context.Context) {
-	ticker := time.NewTicker(settings.Duration(n.set.Load().Tick))
+	ticker := time.NewTicker(settings.Duration(n.set.Load().TickMs))
 	defer ticker.Stop()
 	for {
 		select {
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -44,7 +44,7 @@
 	}
 	self := membership.Member{Name: set.Name, Addr: ln.Addr().String(), Zone: set.Zone, Capacity: room(set)}
 	agent := peers.New(self, seedAddrs(set.Peers.Seeds, addr.Port), udp, codec, n.log)
-	agent.EnableWarmup(set.Bounds.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmUpAssignment)
+	agent.EnableWarmup(set.Declared.Zones, others(set.Peers.Seeds, addr.IP), n.table.SetWarmUpAssignment)
 	server.SetQuarantine(n.gateway.Quarantine())
 	agent.EnableQuarantineSharing(n.gateway.Quarantine())
 	if set.Peers.Batches {
@@ -52,7 +52,7 @@
 	}
 	if set.Peers.Gather {
 		n.gateway.UseGatherers(agent)
-		slack := peers.BurstBudget{Total: set.Bounds.SecondSlack, Zones: set.Bounds.Zones, Window: settings.Duration(set.Bounds.SecondWindowMs)}
+		slack := peers.BurstBudget{Total: set.Declared.SecondRequestSlack, Zones: set.Declared.Zones, Window: settings.Duration(set.Declared.SecondRequestWindowMs)}
 		agent.EnableBurstSharing(slack, n.table.SetBurstLimits)
 	}
 	if set.Peers.Feed {
@@ -69,7 +69,7 @@
 const newsLate = 500 * time.Millisecond
 
 // room is how much work this instance can take, in hundredths of a processor.
-func room(set *settings.Node) uint32 { return uint32(max(100*set.Machine.Processor, 1)) }
+func room(set *settings.Node) uint32 { return uint32(max(100*set.Machine.CPUs, 1)) }
 
 // seedAddrs are the peers' addresses of the instances that the seeds name: the port is
 // the same on all instances.
--- a/pkg/node/reload.go
+++ b/pkg/node/reload.go
@@ -49,6 +49,6 @@
 	n.set.Store(set)
 	n.table.SetOptions(tableOptions(set))
 	n.gateway.SetOptions(gatewayOptions(set))
-	n.gateway.Quarantine().SetMaxDuration(settings.Duration(set.Limits.QuarantineMostMs), time.Now())
+	n.gateway.Quarantine().SetMaxDuration(settings.Duration(set.Limits.MaxQuarantineMs), time.Now())
 	n.log.State("reloaded", oplog.Fields{"why": why, "needs_restart": needsRestart})
 }
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return nil, err
 		}
-		srv.H.GET(readyPath, func(_ context.Context, c *app.RequestContext) {
+		srv.Hertz.GET(readyPath, func(_ context.Context, c *app.RequestContext) {
 			status := http.StatusOK
 			if !n.ready() {
 				status = http.StatusServiceUnavailable
@@ -50,7 +50,7 @@
 func (s *statusServers) start(log *oplog.Log) {
 	for _, srv := range s.all {
 		go func() {
-			err := srv.H.Run()
+			err := srv.Hertz.Run()
 			log.State("status_server_ended", oplog.Fields{"addr": srv.Addr(), "error": fmt.Sprint(err)})
 		}()
 	}
@@ -152,5 +152,5 @@
 	})
 	gauge("node_store_age_seconds", func() float64 { return n.follower.Age(time.Now()).Seconds() })
 	gauge("node_log_lines_dropped", func() float64 { return float64(n.log.Dropped()) })
-	gauge("node_log_lines_summed", func() float64 { return float64(n.log.Summed()) })
+	gauge("node_log_lines_summed", func() float64 { return float64(n.log.Suppressed()) })
 }
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -638,13 +638,13 @@
 func simDeployments() map[string]*settings.Node {
 	out := make(map[string]*settings.Node)
 	for name, b := range map[string]settings.NodeDeclared{
-		"small":       {ContactMs: 4000, GraceMs: 6000, ApplyMs: 3000, DrainMs: 3000},
-		"grown":       {ContactMs: 5000, GraceMs: 6000, ApplyMs: 5000, DrainMs: 5000},
-		"evacuations": {ContactMs: 5000, GraceMs: 6000, ApplyMs: 5000, DrainMs: 5000, EvacuateMs: 5000},
-		"large":       {ContactMs: 5000, GraceMs: 6000, ApplyMs: 6000, DrainMs: 6000},
+		"small":       {CatchUpMs: 4000, TerminationGraceMs: 6000, ApplyMs: 3000, DrainMs: 3000},
+		"grown":       {CatchUpMs: 5000, TerminationGraceMs: 6000, ApplyMs: 5000, DrainMs: 5000},
+		"evacuations": {CatchUpMs: 5000, TerminationGraceMs: 6000, ApplyMs: 5000, DrainMs: 5000, EvacuateMs: 5000},
+		"large":       {CatchUpMs: 5000, TerminationGraceMs: 6000, ApplyMs: 6000, DrainMs: 6000},
 	} {
 		set := settings.NodeDefaults()
-		set.Bounds = b
+		set.Declared = b
 		set.Peers.Listen = "127.0.0.1:1"
 		out[name] = &set
 	}
--- a/pkg/oplog/oplog.go
+++ b/pkg/oplog/oplog.go
@@ -30,8 +30,8 @@
 	Burst int
 	// Buffer is how many lines wait for the output at most.
 	Buffer int
-	// Least is the level below which lines are not written; zero: all are.
-	Least Level
+	// MinLevel is the level below which lines are not written; zero: all are.
+	MinLevel Level
 }
 
 // Log is a bounded, non-blocking log. It is safe for concurrent use.
@@ -121,7 +121,9 @@
 }
 
 // writes reports whether lines of an event are written at all.
-func (l *Log) writes(event string) bool { return l.opts.Least == 0 || levelOf(event) <= l.opts.Least }
+func (l *Log) writes(event string) bool {
+	return l.opts.MinLevel == 0 || levelOf(event) <= l.opts.MinLevel
+}
 
 // enqueue never blocks: a full buffer drops the line and counts it.
 func (l *Log) enqueue(event string, fields Fields) {
@@ -145,8 +147,8 @@
 // Dropped is how many lines a full buffer has dropped.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// Summed is how many lines were over their budget and summed.
-func (l *Log) Summed() int64 { return l.summed.Load() }
+// Suppressed is how many lines were over their budget and summed.
+func (l *Log) Suppressed() int64 { return l.summed.Load() }
 
 // Close writes what is buffered, for at most the given time. Later lines are
 // dropped.
--- a/pkg/oplog/oplog_test.go
+++ b/pkg/oplog/oplog_test.go
@@ -72,7 +72,7 @@
 	var last map[string]any
 	require.NoError(t, json.Unmarshal([]byte(lines[len(lines)-1]), &last))
 	require.Greater(t, last["suppressed"], 1000.0)
-	require.Greater(t, l.Summed(), int64(1000))
+	require.Greater(t, l.Suppressed(), int64(1000))
 }
 
 // Symptom: requests stand still or memory grows when nobody reads the output.
@@ -104,7 +104,7 @@
 	var out bytes.Buffer
 	least, err := ParseLevel("warn")
 	require.NoError(t, err)
-	l := New(&out, nil, Options{LinesPerSecond: 5, Burst: 20, Buffer: 16, Least: least})
+	l := New(&out, nil, Options{LinesPerSecond: 5, Burst: 20, Buffer: 16, MinLevel: least})
 	l.Decision("second_request", Fields{})
 	l.Decision("query_refused", Fields{})
 	l.State("store_lost", Fields{})
@@ -114,7 +114,7 @@
 	require.Equal(t, 2, strings.Count(out.String(), "\n"))
 	require.Contains(t, out.String(), `"event":"store_lost","level":"warning"`)
 	require.Contains(t, out.String(), `"event":"reload_failed","level":"error"`)
-	require.Zero(t, l.Summed())
+	require.Zero(t, l.Suppressed())
 	_, err = ParseLevel("loud")
 	require.Error(t, err)
 }
--- a/pkg/service/gone_test.go
+++ b/pkg/service/gone_test.go
@@ -23,7 +23,7 @@
 	s, err := Listen("127.0.0.1:0", time.Second, metrics.NewSet(), func() any { return nil }, nil)
 	require.NoError(t, err)
 	gone := make(chan bool, 2)
-	s.H.GET("/probe", func(ctx context.Context, c *app.RequestContext) { gone <- CallerGone(ctx) })
+	s.Hertz.GET("/probe", func(ctx context.Context, c *app.RequestContext) { gone <- CallerDisconnected(ctx) })
 	send := func() net.Conn {
 		conn, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
--- a/pkg/service/service.go
+++ b/pkg/service/service.go
@@ -30,7 +30,7 @@
 // Server is a hertz server bound to a listener that exists before Start
 // returns, so callers can connect at once.
 type Server struct {
-	H        *server.Hertz
+	Hertz    *server.Hertz
 	listener net.Listener
 	done     chan error
 }
@@ -70,7 +70,7 @@
 	h.GET(PathState, func(_ context.Context, c *app.RequestContext) {
 		c.JSON(200, state())
 	})
-	return &Server{H: h, listener: ln, done: make(chan error, 1)}, nil
+	return &Server{Hertz: h, listener: ln, done: make(chan error, 1)}, nil
 }
 
 // Addr is the bound address.
@@ -78,14 +78,14 @@
 
 // Start serves in the background.
 func (s *Server) Start() {
-	go func() { s.done <- s.H.Run() }()
+	go func() { s.done <- s.Hertz.Run() }()
 	waitReady(s.Addr())
 }
 
 // Stop closes the listener and waits for requests in flight, at most the
 // exit wait given to Listen.
 func (s *Server) Stop(ctx context.Context) error {
-	return s.H.Shutdown(ctx)
+	return s.Hertz.Shutdown(ctx)
 }
 
 // idleWait bounds the wait for connections once nothing is in flight. The
@@ -99,7 +99,7 @@
 func (s *Server) StopIdle(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, idleWait)
 	defer cancel()
-	return s.H.Shutdown(ctx)
+	return s.Hertz.Shutdown(ctx)
 }
 
 func waitReady(addr string) {
--- a/pkg/settings/node.go
+++ b/pkg/settings/node.go
@@ -3,22 +3,22 @@
 // Node holds the settings of an entry instance on the users' platform. Fields
 // that end in Ms are milliseconds. docs/SETTINGS.md tables them.
 type Node struct {
-	Name   string     `yaml:"name"`
-	Zone   string     `yaml:"zone"`
-	Listen NodeListen `yaml:"listen"`
-	Store  NodeStore  `yaml:"store"`
-	Stop   NodeStop   `yaml:"stop"`
-	Second NodeSecond `yaml:"second_requests"`
-	Answer NodeAnswer `yaml:"answers"`
-	Leafs  NodeLeafs  `yaml:"leafs"`
-	Peers  NodePeers  `yaml:"peers"`
+	Name           string             `yaml:"name"`
+	Zone           string             `yaml:"zone"`
+	Listen         NodeListen         `yaml:"listen"`
+	Store          NodeStore          `yaml:"store"`
+	Stop           NodeStop           `yaml:"stop"`
+	SecondRequests NodeSecondRequests `yaml:"second_requests"`
+	Answers        NodeAnswers        `yaml:"answers"`
+	Leafs          NodeLeafs          `yaml:"leafs"`
+	Peers          NodePeers          `yaml:"peers"`
 	// Machine is what the instance runs on.
-	Machine NodeMachine  `yaml:"machine"`
-	Limits  NodeLimits   `yaml:"limits"`
-	Log     NodeLog      `yaml:"log"`
-	Tick    int          `yaml:"tick_ms"`
-	Reload  NodeReload   `yaml:"reload"`
-	Bounds  NodeDeclared `yaml:"declared"`
+	Machine  NodeMachine  `yaml:"machine"`
+	Limits   NodeLimits   `yaml:"limits"`
+	Log      NodeLog      `yaml:"log"`
+	TickMs   int          `yaml:"tick_ms"`
+	Reload   NodeReload   `yaml:"reload"`
+	Declared NodeDeclared `yaml:"declared"`
 }
 
 // NodeListen are the addresses (host:port) an instance listens on.
@@ -37,47 +37,47 @@
 	Address     string `yaml:"address"`
 	WatchWaitMs int    `yaml:"watch_wait_ms"`
 	CoalesceMs  int    `yaml:"coalesce_ms"`
-	// ProofMs is how old what is known may be until the store is asked.
-	ProofMs int `yaml:"proof_ms"`
+	// FreshnessIntervalMs is how old what is known may be until the store is asked.
+	FreshnessIntervalMs int `yaml:"proof_ms"`
 	// FirstTimeoutMs bounds a call beyond its wait, CallTimeoutMs one that follows a failed one.
-	FirstTimeoutMs int `yaml:"first_timeout_ms"`
-	CallTimeoutMs  int `yaml:"call_timeout_ms"`
-	RetryFirstMs   int `yaml:"retry_first_ms"`
-	RetryMostMs    int `yaml:"retry_most_ms"`
-	AwayAfterMs    int `yaml:"away_after_ms"`
+	FirstTimeoutMs    int `yaml:"first_timeout_ms"`
+	RetryTimeoutMs    int `yaml:"call_timeout_ms"`
+	MinBackoffMs      int `yaml:"retry_first_ms"`
+	MaxBackoffMs      int `yaml:"retry_most_ms"`
+	OutageThresholdMs int `yaml:"away_after_ms"`
 }
 
 // NodeStop paces the graceful stop.
 type NodeStop struct {
-	// LeaveMs is how long callers are still accepted after the stop signal,
+	// LameDuckMs is how long callers are still accepted after the stop signal,
 	// until the balancer has noticed.
-	LeaveMs int `yaml:"leave_ms"`
-	// MarginMs is kept back from the platform's grace before the kill.
-	MarginMs int `yaml:"margin_ms"`
+	LameDuckMs int `yaml:"leave_ms"`
+	// KillMarginMs is kept back from the platform's grace before the kill.
+	KillMarginMs int `yaml:"margin_ms"`
 }
 
-// NodeSecond bounds second requests to a shard or service.
-type NodeSecond struct {
-	Burst          float64 `yaml:"burst"`
-	HedgeAtTypical float64 `yaml:"hedge_at_typical"`
-	HedgeAtTarget  float64 `yaml:"hedge_at_target"`
-	HedgeLeastMs   int     `yaml:"hedge_least_ms"`
+// NodeSecondRequests bounds second requests to a shard or service.
+type NodeSecondRequests struct {
+	Burst               float64 `yaml:"burst"`
+	HedgeTypicalFactor  float64 `yaml:"hedge_at_typical"`
+	HedgeTargetFraction float64 `yaml:"hedge_at_target"`
+	MinHedgeDelayMs     int     `yaml:"hedge_least_ms"`
 }
 
-// NodeAnswer says when answers are given.
-type NodeAnswer struct {
-	Partial      bool    `yaml:"partial"`
-	MarginMs     int     `yaml:"margin_ms"`
-	UsefulTarget float64 `yaml:"useful_target"`
-	LeastChance  float64 `yaml:"least_chance"`
-	// LateWait, HeldChance and HeldWait say what becomes of queries that can only be
+// NodeAnswers says when answers are given.
+type NodeAnswers struct {
+	Partial               bool    `yaml:"partial"`
+	MarginMs              int     `yaml:"margin_ms"`
+	RequestDeadlineFactor float64 `yaml:"useful_target"`
+	MinAdmitProbability   float64 `yaml:"least_chance"`
+	// LateWaitFraction, HeldChance and HeldWait say what becomes of queries that can only be
 	// answered late (fanout.Options).
-	LateWait   float64 `yaml:"late_wait"`
-	HeldChance float64 `yaml:"held_chance"`
-	HeldWait   float64 `yaml:"held_wait"`
+	LateWaitFraction      float64 `yaml:"late_wait"`
+	MinReleaseProbability float64 `yaml:"held_chance"`
+	HeldWaitFraction      float64 `yaml:"held_wait"`
 
-	DefaultPatienceMs int `yaml:"default_patience_ms"`
-	RetryAfterMs      int `yaml:"retry_after_ms"`
+	DefaultTimeoutMs int `yaml:"default_patience_ms"`
+	RetryAfterMs     int `yaml:"retry_after_ms"`
 }
 
 // NodeLeafs bounds what is held toward leafs.
@@ -87,7 +87,7 @@
 	// OtherZoneFactor multiplies the cost of a leaf in another zone.
 	OtherZoneFactor float64 `yaml:"other_zone_factor"`
 	DialTimeoutMs   int     `yaml:"dial_timeout_ms"`
-	IdleMs          int     `yaml:"idle_ms"`
+	IdleTimeoutMs   int     `yaml:"idle_ms"`
 	LapseGraceMs    int     `yaml:"lapse_grace_ms"`
 	MaxReplyBytes   int     `yaml:"max_reply_bytes"`
 }
@@ -116,8 +116,8 @@
 
 // NodeMachine says what an instance runs on. Work is placed by it.
 type NodeMachine struct {
-	// Processor is the instance's share of a processor, or how many it has.
-	Processor float64 `yaml:"processor"`
+	// CPUs is the instance's share of a processor, or how many it has.
+	CPUs float64 `yaml:"processor"`
 }
 
 // NodeLimits bounds what an instance holds at once.
@@ -127,8 +127,8 @@
 	MaxConnections int `yaml:"max_connections"`
 	// MaxPeerConnections bounds the connections of peers.
 	MaxPeerConnections int `yaml:"max_peer_connections"`
-	// QuarantineMostMs bounds how long a request that ends leafs is sent to none.
-	QuarantineMostMs int `yaml:"quarantine_most_ms"`
+	// MaxQuarantineMs bounds how long a request that ends leafs is sent to none.
+	MaxQuarantineMs int `yaml:"quarantine_most_ms"`
 }
 
 // NodeLog bounds the log.
@@ -142,27 +142,27 @@
 
 // NodeReload says how often the settings file is looked at.
 type NodeReload struct {
-	EveryMs int `yaml:"every_ms"`
+	IntervalMs int `yaml:"every_ms"`
 }
 
 // NodeDeclared are bounds that the platform declares to what runs on it.
 type NodeDeclared struct {
-	// ContactMs is how soon after a disturbance of the store an instance must
+	// CatchUpMs is how soon after a disturbance of the store an instance must
 	// have caught up.
-	ContactMs int `yaml:"contact_ms"`
-	// GraceMs is the time from the stop signal to the kill.
-	GraceMs int `yaml:"grace_ms"`
+	CatchUpMs int `yaml:"contact_ms"`
+	// TerminationGraceMs is the time from the stop signal to the kill.
+	TerminationGraceMs int `yaml:"grace_ms"`
 	// ApplyMs is how soon after its publication a configuration must be in
 	// force, and DrainMs how soon a leaf that leaves must get no new requests.
 	ApplyMs int `yaml:"apply_ms"`
 	DrainMs int `yaml:"drain_ms"`
-	// SecondRatio is how many second requests to a service there may be for
+	// SecondRequestRatio is how many second requests to a service there may be for
 	// each request, over all instances, in any window of SecondWindowMs.
-	SecondRatio    float64 `yaml:"second_ratio"`
-	SecondWindowMs int     `yaml:"second_window_ms"`
-	// SecondSlack is how many more there may be in a window, over all instances; zero:
+	SecondRequestRatio    float64 `yaml:"second_ratio"`
+	SecondRequestWindowMs int     `yaml:"second_window_ms"`
+	// SecondRequestSlack is how many more there may be in a window, over all instances; zero:
 	// not declared.
-	SecondSlack float64 `yaml:"second_slack"`
+	SecondRequestSlack float64 `yaml:"second_slack"`
 	// ColdFactor times what a service publishes for cold leafs, and ColdSlack more, is what a
 	// cold leaf may get in a second from all instances.
 	ColdFactor float64 `yaml:"cold_factor"`
--- a/pkg/settings/node_test.go
+++ b/pkg/settings/node_test.go
@@ -22,7 +22,7 @@
 func TestNodeDefaultsCheck(t *testing.T) {
 	n, err := loadNode(t, "")
 	require.NoError(t, err)
-	require.True(t, n.Answer.Partial)
+	require.True(t, n.Answers.Partial)
 	require.Equal(t, 3*time.Second, n.StopBudget())
 }
 
@@ -64,9 +64,9 @@
 	} {
 		n := NodeDefaults()
 		n.Store.CoalesceMs = tc.coalesce
-		n.Bounds.ApplyMs = tc.apply
-		n.Bounds.DrainMs = tc.drain
-		require.Equal(t, Duration(tc.want), n.Coalesce(), "%v", tc)
+		n.Declared.ApplyMs = tc.apply
+		n.Declared.DrainMs = tc.drain
+		require.Equal(t, Duration(tc.want), n.CoalesceDelay(), "%v", tc)
 	}
 }
 
@@ -75,9 +75,9 @@
 func TestChangesAreKnownWellWithinTheDeclaredTimes(t *testing.T) {
 	for apply := 100; apply <= 60000; apply += 100 {
 		n := NodeDefaults()
-		n.Bounds.ApplyMs = apply
+		n.Declared.ApplyMs = apply
 		require.NoError(t, n.checkKnownWithin(), "%d ms", apply)
-		require.LessOrEqual(t, n.KnownWithin(), Duration(2000), "%d ms", apply)
+		require.LessOrEqual(t, n.MaxPropagationDelay(), Duration(2000), "%d ms", apply)
 	}
 	_, err := loadNode(t, "declared: {apply_ms: 3000, drain_ms: 1}\n")
 	require.ErrorContains(t, err, "drain_ms")
--- a/pkg/settings/nodedefaults.go
+++ b/pkg/settings/nodedefaults.go
@@ -13,41 +13,41 @@
 			// declared time for a change to be in force.
 			CoalesceMs: 2000,
 			// Shortened further by the declared times.
-			ProofMs: 1000,
+			FreshnessIntervalMs: 1000,
 			// Twice as long as a slow store takes, and more once a call has failed.
 			FirstTimeoutMs: 750,
-			CallTimeoutMs:  1500,
-			RetryFirstMs:   150,
-			RetryMostMs:    1000,
+			RetryTimeoutMs: 1500,
+			MinBackoffMs:   150,
+			MaxBackoffMs:   1000,
 			// Leafs report every 1.2 s; an outage shorter than that lets no
 			// entry lapse.
-			AwayAfterMs: 1000,
+			OutageThresholdMs: 1000,
 		},
 		Stop: NodeStop{
 			// The balancer asks each second and takes an instance out after
 			// two misses.
-			LeaveMs:  2500,
-			MarginMs: 500,
+			LameDuckMs:   2500,
+			KillMarginMs: 500,
 		},
-		Second: NodeSecond{
-			Burst:          2,
-			HedgeAtTypical: 2.5,
-			HedgeAtTarget:  0.25,
+		SecondRequests: NodeSecondRequests{
+			Burst:               2,
+			HedgeTypicalFactor:  2.5,
+			HedgeTargetFraction: 0.25,
 			// Small against a leaf's pause and the target latencies.
-			HedgeLeastMs: 15,
+			MinHedgeDelayMs: 15,
 		},
-		Answer: NodeAnswer{
-			Partial:      true,
-			MarginMs:     5,
-			UsefulTarget: 1.0,
-			LeastChance:  0.25,
+		Answers: NodeAnswers{
+			Partial:               true,
+			MarginMs:              5,
+			RequestDeadlineFactor: 1.0,
+			MinAdmitProbability:   0.25,
 			// Budgets refill over ten seconds; half of the time leaves the caller
 			// the other half to come again.
-			LateWait:          0.5,
-			HeldChance:        0.87,
-			HeldWait:          0.7,
-			DefaultPatienceMs: 5000,
-			RetryAfterMs:      300,
+			LateWaitFraction:      0.5,
+			MinReleaseProbability: 0.87,
+			HeldWaitFraction:      0.7,
+			DefaultTimeoutMs:      5000,
+			RetryAfterMs:          300,
 		},
 		Leafs: NodeLeafs{
 			ConnsPerLeaf: 8,
@@ -56,7 +56,7 @@
 			// between zones are billed and take a round trip longer.
 			OtherZoneFactor: 1.6,
 			DialTimeoutMs:   250,
-			IdleMs:          30000,
+			IdleTimeoutMs:   30000,
 			LapseGraceMs:    2300,
 			MaxReplyBytes:   4 << 20,
 		},
@@ -68,13 +68,13 @@
 			// By then the members of a zone know each other.
 			FirstStartWaitMs: 2000,
 		},
-		Machine: NodeMachine{Processor: 1},
+		Machine: NodeMachine{CPUs: 1},
 		// Of 4,100 descriptors some hundred are left for files, leafs, the store and
 		// operators.
-		Limits: NodeLimits{MaxInFlight: 400, Workers: 4096, MaxConnections: 3000, MaxPeerConnections: 400, QuarantineMostMs: defaultQuarantineMost},
-		Log:    NodeLog{Level: "debug", LinesPerSecond: 5, Burst: 20, Buffer: 512},
-		Tick:   50,
-		Reload: NodeReload{EveryMs: 2000},
-		Bounds: NodeDeclared{ContactMs: 4000, GraceMs: 6000, ApplyMs: 3000, DrainMs: 3000, SecondRatio: 0.2, SecondWindowMs: 10000, ColdFactor: 1},
+		Limits:   NodeLimits{MaxInFlight: 400, Workers: 4096, MaxConnections: 3000, MaxPeerConnections: 400, MaxQuarantineMs: defaultQuarantineMost},
+		Log:      NodeLog{Level: "debug", LinesPerSecond: 5, Burst: 20, Buffer: 512},
+		TickMs:   50,
+		Reload:   NodeReload{IntervalMs: 2000},
+		Declared: NodeDeclared{CatchUpMs: 4000, TerminationGraceMs: 6000, ApplyMs: 3000, DrainMs: 3000, SecondRequestRatio: 0.2, SecondRequestWindowMs: 10000, ColdFactor: 1},
 	}
 }
--- a/pkg/settings/nodetimes.go
+++ b/pkg/settings/nodetimes.go
@@ -10,15 +10,15 @@
 // the timeout of a call it stays within the declared contact time.
 func (n *Node) WatchWait() time.Duration {
 	const leastWait = 500
-	within := max(n.Bounds.ContactMs-n.Store.CallTimeoutMs, leastWait)
+	within := max(n.Declared.CatchUpMs-n.Store.RetryTimeoutMs, leastWait)
 	return Duration(min(n.Store.WatchWaitMs, within))
 }
 
 // changeMs is how soon after its publication the most urgent kind of change must have effect.
 func (n *Node) changeMs() int {
-	within := min(n.Bounds.ApplyMs, n.Bounds.DrainMs)
-	if n.Bounds.EvacuateMs > 0 {
-		within = min(within, n.Bounds.EvacuateMs)
+	within := min(n.Declared.ApplyMs, n.Declared.DrainMs)
+	if n.Declared.EvacuateMs > 0 {
+		within = min(within, n.Declared.EvacuateMs)
 	}
 	return within
 }
@@ -55,36 +55,36 @@
 	return Duration(min(ms, int(part*float64(n.changeMs()))))
 }
 
-// Coalesce is the pause after a watch of the store that brought changes.
-func (n *Node) Coalesce() time.Duration {
+// CoalesceDelay is the pause after a watch of the store that brought changes.
+func (n *Node) CoalesceDelay() time.Duration {
 	return min(n.capped(n.Store.CoalesceMs, proofPart), n.proof())
 }
 
 // proof is how old what is known of the store may be until it is asked.
-func (n *Node) proof() time.Duration { return n.capped(n.Store.ProofMs, proofPart) }
+func (n *Node) proof() time.Duration { return n.capped(n.Store.FreshnessIntervalMs, proofPart) }
 
-// Pace is how the store is followed.
-func (n *Node) Pace() longpoll.Options {
+// LongPollOptions is how the store is followed.
+func (n *Node) LongPollOptions() longpoll.Options {
 	proof := n.proof()
-	timeout := n.capped(n.Store.CallTimeoutMs, timeoutPart)
+	timeout := n.capped(n.Store.RetryTimeoutMs, timeoutPart)
 	of := func(part float64) time.Duration { return time.Duration(part * float64(proof)) }
 	return longpoll.Options{
-		Wait: n.WatchWait(), ProbeWait: look, CoalesceDelay: n.Coalesce(),
+		Wait: n.WatchWait(), ProbeWait: look, CoalesceDelay: n.CoalesceDelay(),
 		FreshnessInterval: proof, FreshnessSlack: of(slackPart), Jitter: of(spreadPart),
 		Timeout: min(Duration(n.Store.FirstTimeoutMs), timeout), RetryTimeout: timeout,
-		MinBackoff: n.capped(n.Store.RetryFirstMs, retryPart), MaxBackoff: n.capped(n.Store.RetryMostMs, retryMostPart),
+		MinBackoff: n.capped(n.Store.MinBackoffMs, retryPart), MaxBackoff: n.capped(n.Store.MaxBackoffMs, retryMostPart),
 	}
 }
 
-// KnownWithin is how late a change of the store is known at most: after its publication, or after
+// MaxPropagationDelay is how late a change of the store is known at most: after its publication, or after
 // the return of a store that was away, whichever is later.
-func (n *Node) KnownWithin() time.Duration {
-	return n.Pace().MaxPropagationDelay(n.capped(slowAnswerMs, answerPart))
+func (n *Node) MaxPropagationDelay() time.Duration {
+	return n.LongPollOptions().MaxPropagationDelay(n.capped(slowAnswerMs, answerPart))
 }
 
 // checkKnownWithin reports settings with which a change is known too late to have effect in time.
 func (n *Node) checkKnownWithin() error {
-	within, allowed := n.KnownWithin(), Duration(int(knownPart*float64(n.changeMs())))
+	within, allowed := n.MaxPropagationDelay(), Duration(int(knownPart*float64(n.changeMs())))
 	if within <= allowed {
 		return nil
 	}
@@ -101,5 +101,5 @@
 
 // StopBudget is how long requests in flight may take after the leave time.
 func (n *Node) StopBudget() time.Duration {
-	return Duration(max(n.Bounds.GraceMs-n.Stop.LeaveMs-n.Stop.MarginMs, 0))
+	return Duration(max(n.Declared.TerminationGraceMs-n.Stop.LameDuckMs-n.Stop.KillMarginMs, 0))
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -37,8 +37,8 @@
 	Policy           string `yaml:"policy"`
 	HedgeBudgetPct   int    `yaml:"hedge_budget_percent"`
 	HedgeMinMs       int    `yaml:"hedge_min_ms"`
-	// QuarantineMostMs bounds how long a request that ends backend servers is sent to none.
-	QuarantineMostMs int `yaml:"quarantine_most_ms"`
+	// MaxQuarantineMs bounds how long a request that ends backend servers is sent to none.
+	MaxQuarantineMs int `yaml:"quarantine_most_ms"`
 	// RelayListen, when set, is where peers ask for the configuration (UDP);
 	// Peers are their relay addresses and RelaySecret what all share.
 	RelayListen     string   `yaml:"relay_listen"`
@@ -180,7 +180,7 @@
 	fillInt(&s.HedgeBudgetPct, defaultHedgeBudget)
 	fillInt(&s.HedgeMinMs, defaultHedgeMinMs)
 	fillInt(&s.RelayIntervalMs, defaultRelayInterval)
-	fillInt(&s.QuarantineMostMs, defaultQuarantineMost)
+	fillInt(&s.MaxQuarantineMs, defaultQuarantineMost)
 	if s.ZonePenaltyMs == 0 {
 		s.ZonePenaltyMs = defaultZonePenaltyMs
 	}
@@ -191,7 +191,7 @@
 		oneOf("policy", s.Policy, PolicyHedged, PolicyNaive),
 		between("hedge_budget_percent", s.HedgeBudgetPct, 0, 100),
 		positive("hedge_min_ms", s.HedgeMinMs),
-		positive("quarantine_most_ms", s.QuarantineMostMs),
+		positive("quarantine_most_ms", s.MaxQuarantineMs),
 		positive("zone_penalty_ms", s.ZonePenaltyMs),
 		s.checkRelay(),
 		required("name", s.Name),
--- a/pkg/standin/backend/control.go
+++ b/pkg/standin/backend/control.go
@@ -217,5 +217,5 @@
 	if b.onKill != nil {
 		b.onKill()
 	}
-	_ = b.srv.H.Close()
+	_ = b.srv.Hertz.Close()
 }
--- a/pkg/standin/backend/server.go
+++ b/pkg/standin/backend/server.go
@@ -120,10 +120,10 @@
 	b.srv = srv
 	b.metrics.NewGauge("backend_conns_open", func() float64 { return float64(b.ln.open.Load()) })
 	b.metrics.NewGauge("backend_conns_refused", func() float64 { return float64(b.ln.refused.Load()) })
-	srv.H.POST(wire.PathLeaf, b.handleLeaf)
-	srv.H.POST(wire.PathCancel, b.handleCancel)
-	srv.H.POST(PathControl, b.handleControl)
-	srv.H.GET(service.PathHealth, b.handleHealth)
+	srv.Hertz.POST(wire.PathLeaf, b.handleLeaf)
+	srv.Hertz.POST(wire.PathCancel, b.handleCancel)
+	srv.Hertz.POST(PathControl, b.handleControl)
+	srv.Hertz.GET(service.PathHealth, b.handleHealth)
 	return b, nil
 }
 
--- a/pkg/standin/configservice/server.go
+++ b/pkg/standin/configservice/server.go
@@ -103,7 +103,7 @@
 }
 
 func (p *Server) routes() {
-	h := p.srv.H
+	h := p.srv.Hertz
 	h.GET(wire.PathConfig, p.handleRead)
 	h.GET(wire.PathWatch, p.handleWatch)
 	h.POST(wire.PathPatch, p.handlePatch)
