--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -7,10 +7,10 @@
 	"github.com/indigoyoke/indigoyoke/pkg/errcode"
 )
 
-// Duration converts a millisecond setting.
+// Duration converts a setting in milliseconds.
 func Duration(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func fillInt(v *int, def int) {
+func setDefault(v *int, def int) {
 	if *v == 0 {
 		*v = def
 	}
--- a/pkg/settings/node_test.go
+++ b/pkg/settings/node_test.go
@@ -13,21 +13,21 @@
 
 const nodeYAML = "name: n\nzone: z\nlisten: {callers: '127.0.0.1:0', readiness: '127.0.0.1:0'}\nstore: {address: '127.0.0.1:1'}\n"
 
-func loadNode(t *testing.T, more string) (*Node, error) {
+func loadNode(t *testing.T, extra string) (*Node, error) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
-	require.NoError(t, os.WriteFile(path, []byte(nodeYAML+more), 0o644))
+	require.NoError(t, os.WriteFile(path, []byte(nodeYAML+extra), 0o644))
 	return LoadNode(path)
 }
 
-func TestNodeDefaultsCheck(t *testing.T) {
+func TestNodeDefaultsAreValid(t *testing.T) {
 	n, err := loadNode(t, "")
 	require.NoError(t, err)
 	require.True(t, n.Answers.Partial)
 	require.Equal(t, 3*time.Second, n.StopBudget())
 }
 
-func TestNodeSettingsRefusedWithField(t *testing.T) {
-	for more, field := range map[string]string{
+func TestInvalidNodeSettingIsRefusedByFieldName(t *testing.T) {
+	for extra, field := range map[string]string{
 		"tick_ms: -1\n":                           "tick_ms",
 		"answers: {margin_ms: 0}\n":               "answers.margin_ms",
 		"stop: {leave_ms: 7000}\n":                "stop.leave_ms",
@@ -35,30 +35,31 @@
 		"second_requests: {hedge_at_target: 0}\n": "second_requests.hedge_at_target",
 		"log: {lines_per_second: 0}\n":            "log.lines_per_second",
 	} {
-		_, err := loadNode(t, more)
-		require.Error(t, err, more)
+		_, err := loadNode(t, extra)
+		require.Error(t, err, extra)
 		require.Equal(t, errcode.SettingsInvalid, errcode.Of(err))
 		require.Contains(t, err.Error(), field)
 	}
 }
 
-// A watch and the timeout of its call end within the declared contact time.
-func TestWatchWaitKeepsToTheContactTime(t *testing.T) {
-	for more, want := range map[string]time.Duration{
+// Guards against a watch that, together with the timeout of its call, takes longer than the time
+// within which an instance must be up to date again after a disturbance of the store.
+func TestWatchWaitPlusTimeoutStaysWithinCatchUpTime(t *testing.T) {
+	for extra, want := range map[string]time.Duration{
 		"":                               2400 * time.Millisecond,
 		"declared: {contact_ms: 5000}\n": 2400 * time.Millisecond,
 		"declared: {contact_ms: 3000}\n": 1500 * time.Millisecond,
 		"declared: {contact_ms: 1000}\n": 500 * time.Millisecond,
 	} {
-		n, err := loadNode(t, more)
+		n, err := loadNode(t, extra)
 		require.NoError(t, err)
-		require.Equal(t, want, n.WatchWait(), more)
+		require.Equal(t, want, n.WatchWait(), extra)
 	}
 }
 
-// Changes of the store are collected for a part of the time in which they must be
-// in force, however generous the setting.
-func TestCoalesceKeepsWithinTheDeclaredTimes(t *testing.T) {
+// Guards against a coalescing delay that uses up the time within which a change must take effect:
+// however long the setting is, the delay is capped at a fraction of the shortest declared time.
+func TestCoalesceDelayIsCappedByDeclaredDeadlines(t *testing.T) {
 	for _, tc := range []struct{ coalesce, apply, drain, want int }{
 		{2000, 3000, 3000, 1000}, {2000, 5000, 2400, 800}, {800, 3000, 3000, 800}, {2000, 60000, 60000, 1000},
 	} {
@@ -70,13 +71,13 @@
 	}
 }
 
-// Guards against: settings whose waits, timeouts and pauses add up to more than the time in which a
-// change must have effect.
-func TestChangesAreKnownWellWithinTheDeclaredTimes(t *testing.T) {
+// Guards against waits, timeouts and pauses that add up to more than the time within which a change
+// must take effect, and against settings with such a time that are accepted nevertheless.
+func TestPropagationDelayStaysWithinDeclaredDeadlines(t *testing.T) {
 	for apply := 100; apply <= 60000; apply += 100 {
 		n := NodeDefaults()
 		n.Declared.ApplyMs = apply
-		require.NoError(t, n.checkKnownWithin(), "%d ms", apply)
+		require.NoError(t, n.checkPropagationDelay(), "%d ms", apply)
 		require.LessOrEqual(t, n.MaxPropagationDelay(), Duration(2000), "%d ms", apply)
 	}
 	_, err := loadNode(t, "declared: {apply_ms: 3000, drain_ms: 1}\n")
--- a/pkg/settings/nodecheck.go
+++ b/pkg/settings/nodecheck.go
@@ -9,15 +9,15 @@
 	return &n, n.Check()
 }
 
-// Check validates every field.
+// Check validates every field and the combination of the timing settings.
 func (n *Node) Check() error {
 	if err := n.checkFields(); err != nil {
 		return err
 	}
-	return n.checkKnownWithin()
+	return n.checkPropagationDelay()
 }
 
-// checkFields validates each field for itself.
+// checkFields validates each field on its own.
 func (n *Node) checkFields() error {
 	return firstErr(
 		required("name", n.Name),
--- a/pkg/settings/nodedefaults.go
+++ b/pkg/settings/nodedefaults.go
@@ -1,31 +1,31 @@
 package settings
 
-// NodeDefaults are the settings of fields that a file leaves out.
+// NodeDefaults returns the settings with the default of every field that a file may omit.
 func NodeDefaults() Node {
 	return Node{
 		Store: NodeStore{
-			// A store that drops its history lets waiting watches hear nothing
-			// until their wait is over. With the call timeout this stays
-			// below the 4 s within which an instance must have caught up;
-			// a declared contact time shortens it further.
+			// A store that drops its history notifies no watch that is waiting until its wait
+			// is over. Together with the call timeout, the wait stays below the 4 s within
+			// which an instance must be up to date again; a shorter declared catch-up time
+			// shortens it further.
 			WatchWaitMs: 2400,
-			// One call for all changes of that time, shortened further by the
-			// declared time for a change to be in force.
+			// One call returns all changes of this time. The declared times within which a
+			// change must take effect shorten it further.
 			CoalesceMs: 2000,
-			// Shortened further by the declared times.
+			// The declared times shorten it further.
 			FreshnessIntervalMs: 1000,
-			// Twice as long as a slow store takes, and more once a call has failed.
+			// The first timeout is twice the response time of a slow store; the timeout is
+			// longer once a call has failed.
 			FirstTimeoutMs: 750,
 			RetryTimeoutMs: 1500,
 			MinBackoffMs:   150,
 			MaxBackoffMs:   1000,
-			// Leafs report every 1.2 s; an outage shorter than that lets no
-			// entry lapse.
+			// Leafs renew their entries every 1.2 s, so no entry expires in a shorter outage.
 			OutageThresholdMs: 1000,
 		},
 		Stop: NodeStop{
-			// The balancer asks each second and takes an instance out after
-			// two misses.
+			// The load balancer checks readiness every second and removes an instance after
+			// two failed checks.
 			LameDuckMs:   2500,
 			KillMarginMs: 500,
 		},
@@ -33,7 +33,7 @@
 			Burst:               2,
 			HedgeTypicalFactor:  2.5,
 			HedgeTargetFraction: 0.25,
-			// Small against a leaf's pause and the target latencies.
+			// Small compared with a leaf's pause and the target latencies.
 			MinHedgeDelayMs: 15,
 		},
 		Answers: NodeAnswers{
@@ -41,8 +41,8 @@
 			MarginMs:              5,
 			RequestDeadlineFactor: 1.0,
 			MinAdmitProbability:   0.25,
-			// Budgets refill over ten seconds; half of the time leaves the caller
-			// the other half to come again.
+			// Budgets refill over ten seconds. Waiting for half of the time leaves the caller
+			// the other half to retry.
 			LateWaitFraction:      0.5,
 			MinReleaseProbability: 0.87,
 			HeldWaitFraction:      0.7,
@@ -52,8 +52,8 @@
 		Leafs: NodeLeafs{
 			ConnsPerLeaf: 8,
 			Instances:    10,
-			// A leaf in another zone must be faster by this much: bytes
-			// between zones are billed and take a round trip longer.
+			// A leaf in another zone must be faster by this factor, because traffic between
+			// zones is billed and takes an additional round trip.
 			OtherZoneFactor: 1.6,
 			DialTimeoutMs:   250,
 			IdleTimeoutMs:   30000,
@@ -62,16 +62,16 @@
 		},
 		Peers: NodePeers{
 			Batches: true, Gather: true, Feed: true,
-			// A join, a connection and a page of the store's entries; callers of
-			// instances that start together wait as long.
+			// Enough to join, to open a connection and to receive a page of the store's
+			// entries. Callers wait as long when instances start at the same time.
 			StartWaitMs: 150,
-			// By then the members of a zone know each other.
+			// By then the members of a zone have discovered each other.
 			FirstStartWaitMs: 2000,
 		},
 		Machine: NodeMachine{CPUs: 1},
-		// Of 4,100 descriptors some hundred are left for files, leafs, the store and
+		// Of 4,100 file descriptors, several hundred remain for files, leafs, the store and
 		// operators.
-		Limits:   NodeLimits{MaxInFlight: 400, Workers: 4096, MaxConnections: 3000, MaxPeerConnections: 400, MaxQuarantineMs: defaultQuarantineMost},
+		Limits:   NodeLimits{MaxInFlight: 400, Workers: 4096, MaxConnections: 3000, MaxPeerConnections: 400, MaxQuarantineMs: defaultMaxQuarantineMs},
 		Log:      NodeLog{Level: "debug", LinesPerSecond: 5, Burst: 20, Buffer: 512},
 		TickMs:   50,
 		Reload:   NodeReload{IntervalMs: 2000},
--- a/pkg/settings/nodetimes.go
+++ b/pkg/settings/nodetimes.go
@@ -6,92 +6,98 @@
 	"github.com/indigoyoke/indigoyoke/pkg/longpoll"
 )
 
-// WatchWait is how long a watch of the store waits for a change: together with
-// the timeout of a call it stays within the declared contact time.
+// WatchWait is how long a watch of the store waits for a change. Together with the timeout of a
+// call it stays within the declared catch-up time.
 func (n *Node) WatchWait() time.Duration {
-	const leastWait = 500
-	within := max(n.Declared.CatchUpMs-n.Store.RetryTimeoutMs, leastWait)
-	return Duration(min(n.Store.WatchWaitMs, within))
+	const minWaitMs = 500
+	budget := max(n.Declared.CatchUpMs-n.Store.RetryTimeoutMs, minWaitMs)
+	return Duration(min(n.Store.WatchWaitMs, budget))
 }
 
-// changeMs is how soon after its publication the most urgent kind of change must have effect.
-func (n *Node) changeMs() int {
-	within := min(n.Declared.ApplyMs, n.Declared.DrainMs)
+// changeDeadlineMs is the time from publication within which the most urgent kind of change must
+// take effect.
+func (n *Node) changeDeadlineMs() int {
+	deadline := min(n.Declared.ApplyMs, n.Declared.DrainMs)
 	if n.Declared.EvacuateMs > 0 {
-		within = min(within, n.Declared.EvacuateMs)
+		deadline = min(deadline, n.Declared.EvacuateMs)
 	}
-	return within
+	return deadline
 }
 
-// Parts of the time in which a change must have effect (changeMs). With them a change is known
-// within knownPart of it at any phase of the calls, one of which may never be answered; the rest is
-// for what follows from it.
+// Fractions of the time within which a change must take effect (changeDeadlineMs). With them, a
+// change reaches the instance within propagationFraction of that time, whatever the phase of the
+// calls and even if one call is never answered. The rest is left to apply the change.
 const (
-	// proofPart bounds how old what is known may be until the store is asked, and how long
-	// changes are collected.
-	proofPart = 1.0 / 3
-	// slackPart, of the former, is how much later an answer of the store may come, and
-	// spreadPart how far instances spread their questions.
-	slackPart  = 0.45
-	spreadPart = 0.2
-	// timeoutPart bounds a call, retryPart and retryMostPart the time between failed ones.
-	timeoutPart   = 0.5
-	retryPart     = 0.05
-	retryMostPart = 1.0 / 3
-	// answerPart bounds how long a slow store is expected to take for an answer.
-	answerPart = 0.1
-	knownPart  = 2.0 / 3
+	// freshnessFraction limits both the interval after which the store is asked again and the
+	// coalescing delay.
+	freshnessFraction = 1.0 / 3
+	// freshnessSlackFraction, of the freshness interval, is how much later a response of the
+	// store may arrive; jitterFraction, of the same, is how far the calls of the instances are
+	// spread.
+	freshnessSlackFraction = 0.45
+	jitterFraction         = 0.2
+	// timeoutFraction limits the duration of a call, minBackoffFraction and maxBackoffFraction
+	// the delay between failed calls.
+	timeoutFraction    = 0.5
+	minBackoffFraction = 0.05
+	maxBackoffFraction = 1.0 / 3
+	// responseTimeFraction limits the response time that is assumed for a slow store.
+	responseTimeFraction = 0.1
+	propagationFraction  = 2.0 / 3
 )
 
-// slowAnswerMs is how long a slow store takes for an answer at most.
-const slowAnswerMs = 300
+// maxStoreResponseMs is the longest response time of a slow store.
+const maxStoreResponseMs = 300
 
-// look is how long a call waits that is to tell whether the store answers: the shortest wait that
-// the store takes.
-const look = time.Millisecond
+// probeWait is the wait of a call that checks whether the store responds. It is the shortest wait
+// that the store accepts.
+const probeWait = time.Millisecond
 
-// capped is a time of the settings, at most a part of the time in which a change must have effect.
-func (n *Node) capped(ms int, part float64) time.Duration {
-	return Duration(min(ms, int(part*float64(n.changeMs()))))
+// cappedDuration converts a setting and limits it to a fraction of the time within which a change
+// must take effect.
+func (n *Node) cappedDuration(ms int, share float64) time.Duration {
+	return Duration(min(ms, int(share*float64(n.changeDeadlineMs()))))
 }
 
-// CoalesceDelay is the pause after a watch of the store that brought changes.
+// CoalesceDelay is the pause after a watch of the store that returned changes.
 func (n *Node) CoalesceDelay() time.Duration {
-	return min(n.capped(n.Store.CoalesceMs, proofPart), n.proof())
+	return min(n.cappedDuration(n.Store.CoalesceMs, freshnessFraction), n.freshnessInterval())
 }
 
-// proof is how old what is known of the store may be until it is asked.
-func (n *Node) proof() time.Duration { return n.capped(n.Store.FreshnessIntervalMs, proofPart) }
+// freshnessInterval is the maximum age of the last confirmed state before the store is asked again.
+func (n *Node) freshnessInterval() time.Duration {
+	return n.cappedDuration(n.Store.FreshnessIntervalMs, freshnessFraction)
+}
 
-// LongPollOptions is how the store is followed.
+// LongPollOptions returns the timing of the calls to the store.
 func (n *Node) LongPollOptions() longpoll.Options {
-	proof := n.proof()
-	timeout := n.capped(n.Store.RetryTimeoutMs, timeoutPart)
-	of := func(part float64) time.Duration { return time.Duration(part * float64(proof)) }
+	interval := n.freshnessInterval()
+	timeout := n.cappedDuration(n.Store.RetryTimeoutMs, timeoutFraction)
+	ofInterval := func(share float64) time.Duration { return time.Duration(share * float64(interval)) }
 	return longpoll.Options{
-		Wait: n.WatchWait(), ProbeWait: look, CoalesceDelay: n.CoalesceDelay(),
-		FreshnessInterval: proof, FreshnessSlack: of(slackPart), Jitter: of(spreadPart),
+		Wait: n.WatchWait(), ProbeWait: probeWait, CoalesceDelay: n.CoalesceDelay(),
+		FreshnessInterval: interval, FreshnessSlack: ofInterval(freshnessSlackFraction), Jitter: ofInterval(jitterFraction),
 		Timeout: min(Duration(n.Store.FirstTimeoutMs), timeout), RetryTimeout: timeout,
-		MinBackoff: n.capped(n.Store.MinBackoffMs, retryPart), MaxBackoff: n.capped(n.Store.MaxBackoffMs, retryMostPart),
+		MinBackoff: n.cappedDuration(n.Store.MinBackoffMs, minBackoffFraction), MaxBackoff: n.cappedDuration(n.Store.MaxBackoffMs, maxBackoffFraction),
 	}
 }
 
-// MaxPropagationDelay is how late a change of the store is known at most: after its publication, or after
-// the return of a store that was away, whichever is later.
+// MaxPropagationDelay is the maximum time after which the instance knows a change of the store,
+// counted from its publication or from the end of an outage of the store, whichever is later.
 func (n *Node) MaxPropagationDelay() time.Duration {
-	return n.LongPollOptions().MaxPropagationDelay(n.capped(slowAnswerMs, answerPart))
+	return n.LongPollOptions().MaxPropagationDelay(n.cappedDuration(maxStoreResponseMs, responseTimeFraction))
 }
 
-// checkKnownWithin reports settings with which a change is known too late to have effect in time.
-func (n *Node) checkKnownWithin() error {
-	within, allowed := n.MaxPropagationDelay(), Duration(int(knownPart*float64(n.changeMs())))
-	if within <= allowed {
+// checkPropagationDelay rejects settings with which changes arrive too late to take effect in time.
+func (n *Node) checkPropagationDelay() error {
+	delay, allowed := n.MaxPropagationDelay(), Duration(int(propagationFraction*float64(n.changeDeadlineMs())))
+	if delay <= allowed {
 		return nil
 	}
-	return invalid("declared", "the smallest of apply_ms, drain_ms and evacuate_ms is too short: changes of the store are known within %v, allowed are %v", within, allowed)
+	return invalid("declared", "the smallest of apply_ms, drain_ms and evacuate_ms is too short: changes of the store arrive within %v, at most %v is allowed", delay, allowed)
 }
 
-// StartWait is how long an instance that starts waits for peers that feed it.
+// StartWait is how long a starting instance waits for a feed from its peers.
 func (n *Node) StartWait() time.Duration {
 	if n.Peers.FirstStart {
 		return Duration(n.Peers.FirstStartWaitMs)
@@ -99,7 +105,7 @@
 	return Duration(n.Peers.StartWaitMs)
 }
 
-// StopBudget is how long requests in flight may take after the leave time.
+// StopBudget is how long requests in flight may take after the lame-duck period.
 func (n *Node) StopBudget() time.Duration {
 	return Duration(max(n.Declared.TerminationGraceMs-n.Stop.LameDuckMs-n.Stop.KillMarginMs, 0))
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,8 +1,10 @@
-// Package settings owns the YAML settings of each indigoyoke process: the
-// entry instance, the backend server stand-in and the platform stand-in.
-// Load reads a file, refuses unknown fields, fills defaults and checks every
-// value; a bad value is an error carrying errcode.SettingsInvalid that names
-// the field, so a process never starts half-configured.
+// Package settings defines the YAML settings of each indigoyoke process: the
+// entry instance, the backend server stand-in and the platform stand-in. The
+// stand-ins simulate those services for tests and benchmarks. The Load
+// functions read a file, refuse unknown fields, fill in defaults and check
+// every value. An invalid value is reported as an error with the code
+// errcode.SettingsInvalid that names the field, so that no process starts with
+// an incomplete configuration.
 package settings
 
 import (
@@ -16,66 +18,86 @@
 	"github.com/indigoyoke/indigoyoke/pkg/topology"
 )
 
-// Entry holds an entry instance's settings. Durations are in milliseconds.
+// Entry holds the settings of an entry instance. Fields whose names end in Ms
+// are in milliseconds.
 type Entry struct {
-	Name             string `yaml:"name"`
-	Zone             string `yaml:"zone"`
-	Listen           string `yaml:"listen"`
-	Platform         string `yaml:"platform"`
-	Workers          int    `yaml:"workers"`
-	MaxInFlight      int    `yaml:"max_in_flight"`
-	ConnsPerBackend  int    `yaml:"conns_per_backend"`
-	EntryInstances   int    `yaml:"entry_instances"`
-	DefaultTimeoutMs int    `yaml:"default_timeout_ms"`
-	MaxTimeoutMs     int    `yaml:"max_timeout_ms"`
-	MinTimeoutMs     int    `yaml:"min_timeout_ms"`
-	TickMs           int    `yaml:"tick_ms"`
-	DrainGraceMs     int    `yaml:"drain_grace_ms"`
-	RetryAfterMs     int    `yaml:"retry_after_ms"`
-	LeavingHoldMs    int    `yaml:"leaving_hold_ms"`
-	PauseLimitMs     int    `yaml:"pause_limit_ms"`
-	Policy           string `yaml:"policy"`
-	HedgeBudgetPct   int    `yaml:"hedge_budget_percent"`
-	HedgeMinMs       int    `yaml:"hedge_min_ms"`
-	// MaxQuarantineMs bounds how long a request that ends backend servers is sent to none.
+	Name            string `yaml:"name"`
+	Zone            string `yaml:"zone"`
+	Listen          string `yaml:"listen"`
+	Platform        string `yaml:"platform"`
+	Workers         int    `yaml:"workers"`
+	MaxInFlight     int    `yaml:"max_in_flight"`
+	ConnsPerBackend int    `yaml:"conns_per_backend"`
+	// EntryInstances is the number of entry instances that share a backend
+	// server's connections.
+	EntryInstances   int `yaml:"entry_instances"`
+	DefaultTimeoutMs int `yaml:"default_timeout_ms"`
+	MaxTimeoutMs     int `yaml:"max_timeout_ms"`
+	MinTimeoutMs     int `yaml:"min_timeout_ms"`
+	// TickMs is the interval of periodic maintenance.
+	TickMs int `yaml:"tick_ms"`
+	// DrainGraceMs is how long requests are still served after the stop signal,
+	// so that the load balancer can stop sending them.
+	DrainGraceMs int `yaml:"drain_grace_ms"`
+	RetryAfterMs int `yaml:"retry_after_ms"`
+	// LeavingHoldMs is the minimum time for which a backend server that
+	// announced its stop counts as draining, whatever the instance list says.
+	LeavingHoldMs int `yaml:"leaving_hold_ms"`
+	// PauseLimitMs is the gap between two ticks from which the process is
+	// taken to have been paused.
+	PauseLimitMs int `yaml:"pause_limit_ms"`
+	// Policy is one of the fan-out policies below.
+	Policy string `yaml:"policy"`
+	// HedgeBudgetPct limits second requests to this percentage of requests.
+	HedgeBudgetPct int `yaml:"hedge_budget_percent"`
+	// HedgeMinMs is the minimum delay before a hedged request.
+	HedgeMinMs int `yaml:"hedge_min_ms"`
+	// MaxQuarantineMs is the maximum time for which a request that crashes
+	// backend servers is sent to none.
 	MaxQuarantineMs int `yaml:"quarantine_most_ms"`
-	// RelayListen, when set, is where peers ask for the configuration (UDP);
-	// Peers are their relay addresses and RelaySecret what all share.
+	// RelayListen is the UDP address at which peers ask for the configuration;
+	// "" disables the relay. Peers lists the relay addresses of the peers, and
+	// RelaySecret is the secret that all share.
 	RelayListen     string   `yaml:"relay_listen"`
 	RelayIntervalMs int      `yaml:"relay_interval_ms"`
 	RelaySecret     string   `yaml:"relay_secret"`
 	Peers           []string `yaml:"peers"`
-	// ZonePenaltyMs is what a leaf call to another zone is taken to cost
-	// beyond its measured latency.
+	// ZonePenaltyMs is the cost of a leaf call to another zone that is added
+	// to its measured latency.
 	ZonePenaltyMs float64 `yaml:"zone_penalty_ms"`
 }
 
 // Fan-out policies of an entry instance.
 const (
-	// PolicyHedged picks replicas by measured latency and sends a hedged
-	// request to a second replica when the first is slow, within a budget.
+	// PolicyHedged selects replicas by measured latency and, within a budget,
+	// sends a hedged request to a second replica when the first is slow.
 	PolicyHedged = "hedged"
-	// PolicyNaive is the baseline: own zone first, wait for every shard
-	// until the deadline, no hedging.
+	// PolicyNaive is the baseline: it prefers the instance's own zone, waits
+	// for every shard until the deadline and does not hedge.
 	PolicyNaive = "naive"
 )
 
-// Backend holds a backend server stand-in's settings.
+// Backend holds the settings of a backend server stand-in.
 type Backend struct {
-	Name        string            `yaml:"name"`
-	Zone        string            `yaml:"zone"`
-	Listen      string            `yaml:"listen"`
-	Platform    string            `yaml:"platform"`
-	Slots       int               `yaml:"slots"`
-	MaxConns    int               `yaml:"max_conns"`
-	ColdStartMs int               `yaml:"cold_start_ms"`
-	HealthLagMs int               `yaml:"health_lag_ms"`
-	DrainMs     int               `yaml:"drain_ms"`
-	Leafs       []BackendLeafSpec `yaml:"leafs"`
+	Name   string `yaml:"name"`
+	Zone   string `yaml:"zone"`
+	Listen string `yaml:"listen"`
+	// Platform is the address (host:port) to which the server reports its
+	// state; "" for none.
+	Platform string `yaml:"platform"`
+	Slots    int    `yaml:"slots"`
+	MaxConns int    `yaml:"max_conns"`
+	// ColdStartMs is the duration of the simulated cold start; zero for none.
+	ColdStartMs int `yaml:"cold_start_ms"`
+	// HealthLagMs is the age of the state that a health check reports.
+	HealthLagMs int `yaml:"health_lag_ms"`
+	// DrainMs is the wait for requests in flight when the server stops.
+	DrainMs int               `yaml:"drain_ms"`
+	Leafs   []BackendLeafSpec `yaml:"leafs"`
 }
 
 // BackendLeafSpec lists the shards of one index that a backend server holds,
-// the snapshot versions it holds for them and the data set it fakes.
+// their snapshot versions and the data set that it simulates.
 type BackendLeafSpec struct {
 	Index     string   `yaml:"index"`
 	Shards    []string `yaml:"shards"`
@@ -83,57 +105,59 @@
 	Dataset   string   `yaml:"dataset"`
 }
 
-// Platform holds the platform stand-in's settings and the initial deployment
-// configuration it publishes.
+// Platform holds the settings of the platform stand-in and the initial
+// deployment configuration that it publishes.
 type Platform struct {
-	Listen         string          `yaml:"listen"`
-	ReadsPerSecond int             `yaml:"reads_per_second"`
+	Listen         string `yaml:"listen"`
+	ReadsPerSecond int    `yaml:"reads_per_second"`
+	// InstanceLagMs is the delay after which the instance list shows a change.
 	InstanceLagMs  int             `yaml:"instance_lag_ms"`
 	WatchTimeoutMs int             `yaml:"watch_timeout_ms"`
 	Configuration  topology.Config `yaml:"configuration"`
 }
 
-// Defaults for fields left out.
+// Defaults of omitted fields.
 const (
-	defaultWorkers       = 2048
-	defaultMaxInFlight   = 512
-	defaultConns         = 16
-	defaultEntries       = 8
-	defaultTimeoutMs     = 200
-	defaultMaxTimeoutMs  = 30000
-	defaultMinTimeoutMs  = 5
-	defaultTickMs        = 100
-	defaultDrainGraceMs  = 500
-	defaultRetryAfterMs  = 250
-	defaultLeavingHoldMs = 2000
-	defaultPauseLimitMs  = 2000
-	defaultHedgeBudget   = 10
-	defaultHedgeMinMs    = 5
-	defaultZonePenaltyMs = 2.0
-	defaultRelayInterval = 1000
-	// defaultQuarantineMost is a day, in ms.
-	defaultQuarantineMost = 24 * 60 * 60 * 1000
-	minRelaySecret        = 16
-	defaultSlots          = 2
-	defaultMaxConns       = 25
-	defaultReadsPerSec    = 2000
-	defaultWatchTimeout   = 5000
+	defaultWorkers         = 2048
+	defaultMaxInFlight     = 512
+	defaultConnsPerBackend = 16
+	defaultEntryInstances  = 8
+	defaultTimeoutMs       = 200
+	defaultMaxTimeoutMs    = 30000
+	defaultMinTimeoutMs    = 5
+	defaultTickMs          = 100
+	defaultDrainGraceMs    = 500
+	defaultRetryAfterMs    = 250
+	defaultLeavingHoldMs   = 2000
+	defaultPauseLimitMs    = 2000
+	defaultHedgeBudgetPct  = 10
+	defaultHedgeMinMs      = 5
+	defaultZonePenaltyMs   = 2.0
+	defaultRelayIntervalMs = 1000
+	// defaultMaxQuarantineMs is one day.
+	defaultMaxQuarantineMs = 24 * 60 * 60 * 1000
+	minRelaySecretLength   = 16
+	defaultSlots           = 2
+	defaultMaxConns        = 25
+	defaultReadsPerSecond  = 2000
+	defaultWatchTimeoutMs  = 5000
 )
 
-// Datasets a backend server stand-in can fake.
+// Data sets that a backend server stand-in can simulate.
 const (
 	DatasetParts = "parts"
 	DatasetBeds  = "beds"
 )
 
-// checked is a settings type whose Check fills defaults and validates.
-type checked[T any] interface {
+// checkable is a settings type with a Check method that fills in defaults and
+// validates.
+type checkable[T any] interface {
 	*T
 	Check() error
 }
 
 // load reads path into a new T and checks it.
-func load[T any, P checked[T]](path string) (*T, error) {
+func load[T any, P checkable[T]](path string) (*T, error) {
 	var s T
 	if err := decode(path, &s); err != nil {
 		return nil, err
@@ -141,13 +165,13 @@
 	return &s, P(&s).Check()
 }
 
-// LoadEntry reads and checks an entry instance's settings file.
+// LoadEntry reads and checks the settings file of an entry instance.
 func LoadEntry(path string) (*Entry, error) { return load[Entry](path) }
 
-// LoadBackend reads and checks a backend server stand-in's settings file.
+// LoadBackend reads and checks the settings file of a backend server stand-in.
 func LoadBackend(path string) (*Backend, error) { return load[Backend](path) }
 
-// LoadPlatform reads and checks the platform stand-in's settings file.
+// LoadPlatform reads and checks the settings file of the platform stand-in.
 func LoadPlatform(path string) (*Platform, error) { return load[Platform](path) }
 
 func decode(path string, out any) error {
@@ -163,24 +187,24 @@
 	return nil
 }
 
-// Check fills defaults and validates every field.
+// Check fills in defaults and validates every field.
 func (s *Entry) Check() error {
-	fillInt(&s.Workers, defaultWorkers)
-	fillInt(&s.MaxInFlight, defaultMaxInFlight)
-	fillInt(&s.ConnsPerBackend, defaultConns)
-	fillInt(&s.EntryInstances, defaultEntries)
-	fillInt(&s.DefaultTimeoutMs, defaultTimeoutMs)
-	fillInt(&s.MaxTimeoutMs, defaultMaxTimeoutMs)
-	fillInt(&s.MinTimeoutMs, defaultMinTimeoutMs)
-	fillInt(&s.TickMs, defaultTickMs)
-	fillInt(&s.DrainGraceMs, defaultDrainGraceMs)
-	fillInt(&s.RetryAfterMs, defaultRetryAfterMs)
-	fillInt(&s.LeavingHoldMs, defaultLeavingHoldMs)
-	fillInt(&s.PauseLimitMs, defaultPauseLimitMs)
-	fillInt(&s.HedgeBudgetPct, defaultHedgeBudget)
-	fillInt(&s.HedgeMinMs, defaultHedgeMinMs)
-	fillInt(&s.RelayIntervalMs, defaultRelayInterval)
-	fillInt(&s.MaxQuarantineMs, defaultQuarantineMost)
+	setDefault(&s.Workers, defaultWorkers)
+	setDefault(&s.MaxInFlight, defaultMaxInFlight)
+	setDefault(&s.ConnsPerBackend, defaultConnsPerBackend)
+	setDefault(&s.EntryInstances, defaultEntryInstances)
+	setDefault(&s.DefaultTimeoutMs, defaultTimeoutMs)
+	setDefault(&s.MaxTimeoutMs, defaultMaxTimeoutMs)
+	setDefault(&s.MinTimeoutMs, defaultMinTimeoutMs)
+	setDefault(&s.TickMs, defaultTickMs)
+	setDefault(&s.DrainGraceMs, defaultDrainGraceMs)
+	setDefault(&s.RetryAfterMs, defaultRetryAfterMs)
+	setDefault(&s.LeavingHoldMs, defaultLeavingHoldMs)
+	setDefault(&s.PauseLimitMs, defaultPauseLimitMs)
+	setDefault(&s.HedgeBudgetPct, defaultHedgeBudgetPct)
+	setDefault(&s.HedgeMinMs, defaultHedgeMinMs)
+	setDefault(&s.RelayIntervalMs, defaultRelayIntervalMs)
+	setDefault(&s.MaxQuarantineMs, defaultMaxQuarantineMs)
 	if s.ZonePenaltyMs == 0 {
 		s.ZonePenaltyMs = defaultZonePenaltyMs
 	}
@@ -210,7 +234,7 @@
 	)
 }
 
-// checkRelay checks the relay's fields, which go together.
+// checkRelay checks the settings of the relay, which depend on each other.
 func (s *Entry) checkRelay() error {
 	if s.RelayListen == "" {
 		if len(s.Peers) > 0 {
@@ -221,7 +245,7 @@
 	errs := []error{
 		hostPort("relay_listen", s.RelayListen),
 		positive("relay_interval_ms", s.RelayIntervalMs),
-		atLeast("relay_secret length", len(s.RelaySecret), minRelaySecret),
+		atLeast("relay_secret length", len(s.RelaySecret), minRelaySecretLength),
 	}
 	for i, p := range s.Peers {
 		errs = append(errs, hostPort("peers["+strconv.Itoa(i)+"]", p))
@@ -229,10 +253,10 @@
 	return firstErr(errs...)
 }
 
-// Check fills defaults and validates every field.
+// Check fills in defaults and validates every field.
 func (s *Backend) Check() error {
-	fillInt(&s.Slots, defaultSlots)
-	fillInt(&s.MaxConns, defaultMaxConns)
+	setDefault(&s.Slots, defaultSlots)
+	setDefault(&s.MaxConns, defaultMaxConns)
 	errs := []error{
 		required("name", s.Name),
 		required("zone", s.Zone),
@@ -265,11 +289,11 @@
 	return required(field("index"), l.Index)
 }
 
-// Check fills defaults and validates every field, including the initial
+// Check fills in defaults and validates every field, including the initial
 // deployment configuration.
 func (s *Platform) Check() error {
-	fillInt(&s.ReadsPerSecond, defaultReadsPerSec)
-	fillInt(&s.WatchTimeoutMs, defaultWatchTimeout)
+	setDefault(&s.ReadsPerSecond, defaultReadsPerSecond)
+	setDefault(&s.WatchTimeoutMs, defaultWatchTimeoutMs)
 	if err := firstErr(
 		hostPort("listen", s.Listen),
 		positive("reads_per_second", s.ReadsPerSecond),
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -10,9 +10,9 @@
 	"github.com/indigoyoke/indigoyoke/pkg/errcode"
 )
 
-// TestEntrySettingsRefusedWithField checks that a bad settings file stops
-// the process before it starts, with IY5001 and the field's name.
-func TestEntrySettingsRefusedWithField(t *testing.T) {
+// TestInvalidEntrySettingIsRefusedByFieldName guards against a process that starts with an invalid
+// settings file: loading must fail with IY5001 and the name of the field.
+func TestInvalidEntrySettingIsRefusedByFieldName(t *testing.T) {
 	cases := []struct {
 		name, yaml, field string
 	}{
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestBackendLeafDatasetChecked(t *testing.T) {
+func TestUnknownBackendLeafDatasetIsRefused(t *testing.T) {
 	s := Backend{Name: "b", Zone: "z", Listen: "127.0.0.1:0", Leafs: []BackendLeafSpec{{Index: "i", Shards: []string{"s01"}, Snapshots: []int64{1}, Dataset: "cats"}}}
 	err := s.Check()
 	require.Equal(t, errcode.SettingsInvalid, errcode.Of(err))
