--- a/pkg/oplog/levels.go
+++ b/pkg/oplog/levels.go
@@ -2,16 +2,16 @@
 
 import "github.com/sirupsen/logrus"
 
-// Level is how much attention a line asks for.
+// Level is the severity of a line.
 type Level = logrus.Level
 
-// ParseLevel reads a level from the settings: debug, info, warn or error.
+// ParseLevel parses a level of the settings: debug, info, warn or error.
 func ParseLevel(text string) (Level, error) { return logrus.ParseLevel(text) }
 
-// levels are those of the events that are not information. A warning is a lost dependency, a
-// message that cannot be read, or a request that brought no answer after it had begun; an
-// error is what an operator has to mend.
-var levels = map[string]Level{
+// eventLevels holds the levels of all events whose level is not info. A warning reports a lost
+// dependency, an unreadable message, or a request that started but got no answer; an error
+// requires an operator to act.
+var eventLevels = map[string]Level{
 	"second_request":   logrus.DebugLevel,
 	"leaf_call_failed": logrus.DebugLevel,
 	"caller_left":      logrus.DebugLevel,
@@ -58,9 +58,9 @@
 	"status_server_ended":      logrus.ErrorLevel,
 }
 
-// levelOf is the level of an event.
+// levelOf returns the level of an event.
 func levelOf(event string) Level {
-	if l, ok := levels[event]; ok {
+	if l, ok := eventLevels[event]; ok {
 		return l
 	}
 	return logrus.InfoLevel
--- a/pkg/oplog/oplog.go
+++ b/pkg/oplog/oplog.go
@@ -1,11 +1,12 @@
 // Package oplog writes one structured JSON line per decision to standard
-// output, for on-call engineers who have nothing but logs and metrics.
+// output, for on-call engineers who have only logs and metrics.
 //
-// Two things go wrong with such logs under load: a storm of failures writes
-// more than the disk or the pipe takes, and a blocked pipe stops the requests
-// that log to it. So each kind of event has a budget of lines a second, what
-// exceeds it is summed into the next line of its kind, and lines go through a
-// bounded buffer that drops and counts when it is full.
+// Such logs have two failure modes under load: a storm of failures writes more
+// than the disk or the pipe accepts, and a blocked pipe blocks the requests
+// that log to it. Each kind of event therefore has a budget of lines per
+// second, and the next line of that kind reports how many lines exceeded it.
+// Lines pass through a bounded buffer; when it is full, lines are dropped and
+// counted.
 package oplog
 
 import (
@@ -22,40 +23,46 @@
 // Fields are the inputs and the outcome of a decision.
 type Fields = logrus.Fields
 
-// Options bound the volume.
+// Options limit the volume of the log.
 type Options struct {
-	// LinesPerSecond is the budget of each kind of event.
+	// LinesPerSecond is the rate limit of each kind of event.
 	LinesPerSecond float64
-	// Burst is how many lines of a kind may come at once.
+	// Burst is the number of lines of a kind that may be written at once.
 	Burst int
-	// Buffer is how many lines wait for the output at most.
+	// Buffer is the maximum number of lines that wait for the output.
 	Buffer int
-	// MinLevel is the level below which lines are not written; zero: all are.
+	// MinLevel is the lowest level that is written; zero means that all levels are.
 	MinLevel Level
 }
 
 // Log is a bounded, non-blocking log. It is safe for concurrent use.
 type Log struct {
-	opts    Options
-	base    Fields
-	out     *logrus.Logger
-	lines   chan *logrus.Entry
-	done    chan struct{}
-	closed  atomic.Bool
-	dropped atomic.Int64
-	summed  atomic.Int64
-
-	mu    sync.Mutex
-	kinds map[string]*kind
+	opts Options
+	// base holds the fields of every line.
+	base Fields
+	out  *logrus.Logger
+	// lines is the buffer; nil in it ends the writer.
+	lines chan *logrus.Entry
+	// done is closed when the writer has ended.
+	done   chan struct{}
+	closed atomic.Bool
+	// dropped counts the lines lost to a full buffer, suppressed those over budget.
+	dropped    atomic.Int64
+	suppressed atomic.Int64
+
+	mu sync.Mutex
+	// budgets is keyed by event; guarded by mu.
+	budgets map[string]*eventBudget
 }
 
-// kind is the budget of one kind of event.
-type kind struct {
-	limiter    *rate.Limiter
+// eventBudget is the budget of one kind of event.
+type eventBudget struct {
+	limiter *rate.Limiter
+	// suppressed counts the lines over budget since the last line written.
 	suppressed int
 }
 
-// New starts a log that writes to w; every line carries the base fields.
+// New returns a log that writes to w, with the base fields in every line.
 func New(w io.Writer, base Fields, opts Options) *Log {
 	out := logrus.New()
 	out.SetOutput(w)
@@ -66,16 +73,16 @@
 	})
 	l := &Log{
 		opts: opts, base: base, out: out,
-		lines: make(chan *logrus.Entry, opts.Buffer),
-		done:  make(chan struct{}),
-		kinds: make(map[string]*kind),
+		lines:   make(chan *logrus.Entry, opts.Buffer),
+		done:    make(chan struct{}),
+		budgets: make(map[string]*eventBudget),
 	}
-	go l.write()
+	go l.writeLines()
 	return l
 }
 
-// write hands the lines to the output, which may block.
-func (l *Log) write() {
+// writeLines writes the buffered lines to the output, which may block.
+func (l *Log) writeLines() {
 	defer close(l.done)
 	for e := range l.lines {
 		if e == nil {
@@ -85,26 +92,26 @@
 	}
 }
 
-// Decision records a decision that touches a request. It is subject to the
-// budget of its event; the next line says how many were left out.
+// Decision logs a decision about a request, within the budget of its event.
+// The next line of that event reports how many lines were suppressed.
 func (l *Log) Decision(event string, fields Fields) {
-	if !l.writes(event) {
+	if !l.isEnabled(event) {
 		return
 	}
 	l.mu.Lock()
-	k := l.kinds[event]
-	if k == nil {
-		k = &kind{limiter: rate.NewLimiter(rate.Limit(l.opts.LinesPerSecond), l.opts.Burst)}
-		l.kinds[event] = k
+	budget := l.budgets[event]
+	if budget == nil {
+		budget = &eventBudget{limiter: rate.NewLimiter(rate.Limit(l.opts.LinesPerSecond), l.opts.Burst)}
+		l.budgets[event] = budget
 	}
-	if !k.limiter.Allow() {
-		k.suppressed++
+	if !budget.limiter.Allow() {
+		budget.suppressed++
 		l.mu.Unlock()
-		l.summed.Add(1)
+		l.suppressed.Add(1)
 		return
 	}
-	suppressed := k.suppressed
-	k.suppressed = 0
+	suppressed := budget.suppressed
+	budget.suppressed = 0
 	l.mu.Unlock()
 	if suppressed > 0 {
 		fields["suppressed"] = suppressed
@@ -112,20 +119,20 @@
 	l.enqueue(event, fields)
 }
 
-// State records a change of what the process believes: it is written even
-// when the budget of decisions is used up.
+// State logs a change of the process's state or of its view of other
+// processes. It is not subject to the budget of decisions.
 func (l *Log) State(event string, fields Fields) {
-	if l.writes(event) {
+	if l.isEnabled(event) {
 		l.enqueue(event, fields)
 	}
 }
 
-// writes reports whether lines of an event are written at all.
-func (l *Log) writes(event string) bool {
+// isEnabled reports whether the level of an event is written.
+func (l *Log) isEnabled(event string) bool {
 	return l.opts.MinLevel == 0 || levelOf(event) <= l.opts.MinLevel
 }
 
-// enqueue never blocks: a full buffer drops the line and counts it.
+// enqueue never blocks: if the buffer is full, the line is dropped and counted.
 func (l *Log) enqueue(event string, fields Fields) {
 	if l.closed.Load() {
 		return
@@ -144,14 +151,15 @@
 	}
 }
 
-// Dropped is how many lines a full buffer has dropped.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// Suppressed is how many lines were over their budget and summed.
-func (l *Log) Suppressed() int64 { return l.summed.Load() }
+// Suppressed returns the number of lines that exceeded the budget of their
+// event and were only counted.
+func (l *Log) Suppressed() int64 { return l.suppressed.Load() }
 
-// Close writes what is buffered, for at most the given time. Later lines are
-// dropped.
+// Close flushes the buffer for at most the given time. Later lines are
+// discarded.
 func (l *Log) Close(wait time.Duration) {
 	if l.closed.Swap(true) {
 		return
--- a/pkg/oplog/oplog_test.go
+++ b/pkg/oplog/oplog_test.go
@@ -12,23 +12,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// buffer is a concurrency-safe writer that may block.
-type buffer struct {
-	mu    sync.Mutex
-	b     bytes.Buffer
-	block chan struct{}
+// blockingBuffer is a writer that is safe for concurrent use. It blocks until unblock, if set, is
+// closed.
+type blockingBuffer struct {
+	mu      sync.Mutex
+	b       bytes.Buffer
+	unblock chan struct{}
 }
 
-func (w *buffer) Write(p []byte) (int, error) {
-	if w.block != nil {
-		<-w.block
+func (w *blockingBuffer) Write(p []byte) (int, error) {
+	if w.unblock != nil {
+		<-w.unblock
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.b.Write(p)
 }
 
-func (w *buffer) lines() []string {
+func (w *blockingBuffer) lines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Split(strings.TrimSpace(w.b.String()), "\n")
@@ -36,8 +37,8 @@
 
 var options = Options{LinesPerSecond: 5, Burst: 10, Buffer: 64}
 
-func TestLineHoldsDecision(t *testing.T) {
-	out := &buffer{}
+func TestLineHasFieldsOfDecision(t *testing.T) {
+	out := &blockingBuffer{}
 	l := New(out, Fields{"instance": "n1"}, options)
 	l.Decision("partial_answer", Fields{"request": "r1", "covered": 18})
 	l.Close(time.Second)
@@ -49,12 +50,12 @@
 	require.EqualValues(t, 18, line["covered"])
 }
 
-// Symptom: a storm of failures fills the log and the processor. Sequence: ten
-// thousand decisions of a kind at once, then one after a pause. The storm stays
-// inside its budget, another kind is not crowded out, and the next line says how
-// many were left out.
-func TestStormStaysInsideTheBudget(t *testing.T) {
-	out := &buffer{}
+// Guards against a storm of failures that fills the log and takes the processor:
+// ten thousand decisions of one kind arrive at once, and one more after a pause.
+// They must stay within their budget without displacing another kind of event,
+// and the last line must report how many were suppressed.
+func TestEventStormStaysWithinItsBudget(t *testing.T) {
+	out := &blockingBuffer{}
 	l := New(out, nil, Options{LinesPerSecond: 50, Burst: 10, Buffer: 1024})
 	begin := time.Now()
 	for range 10000 {
@@ -75,11 +76,11 @@
 	require.Greater(t, l.Suppressed(), int64(1000))
 }
 
-// Symptom: requests stand still or memory grows when nobody reads the output.
-// Sequence: the output blocks while a hundred thousand changes of state are
-// logged. Cause: a log that waits for its output, or a buffer without bound.
-func TestBlockedOutputNeitherBlocksNorGrows(t *testing.T) {
-	out := &buffer{block: make(chan struct{})}
+// Guards against requests that block, or memory that grows, when nothing reads
+// the output: a log that waits for its output, or an unbounded buffer. A hundred
+// thousand state changes are logged while the output blocks.
+func TestBlockedOutputNeitherBlocksCallersNorGrowsMemory(t *testing.T) {
+	out := &blockingBuffer{unblock: make(chan struct{})}
 	l := New(out, nil, options)
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -92,15 +93,15 @@
 	runtime.ReadMemStats(&after)
 	require.GreaterOrEqual(t, l.Dropped(), int64(n-options.Buffer-2))
 	require.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(1<<20))
-	close(out.block)
+	close(out.unblock)
 	l.Close(time.Second)
 	l.State("late", nil)
 	require.LessOrEqual(t, len(out.lines()), options.Buffer+2)
 }
 
-// Operators filter by level: a lost dependency is a warning, and a level below the least one
-// is neither written nor counted against a budget.
-func TestLevels(t *testing.T) {
+// Operators filter by level: a lost dependency must be a warning, and a line below the minimum
+// level must be neither written nor counted against a budget.
+func TestLinesBelowMinLevelAreNeitherWrittenNorCounted(t *testing.T) {
 	var out bytes.Buffer
 	least, err := ParseLevel("warn")
 	require.NoError(t, err)
