--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -1,7 +1,7 @@
-// Package explain tells the story of one request from the logs of entry
-// instances: the decisions that name the request, in order, the changes of
-// belief shortly before that bear on its leafs, and what other requests with the same
-// content met.
+// Package explain reconstructs the history of one request from the logs of
+// entry instances, in time order: the decisions about the request, the state
+// changes shortly before that concern its leafs, and the lines of other
+// requests with the same content.
 package explain
 
 import (
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// contextBefore is how far back changes of belief are told: the longest time
-// that a leaf is left alone after a failure, and in which its slowness is half forgotten.
-const contextBefore = 4 * time.Second
+// contextWindow is how long before the request state changes are included. It is the longest pause
+// of a leaf after a failure, and the half-life of the slowness recorded for a leaf.
+const contextWindow = 4 * time.Second
 
 // line is one parsed log line.
 type line struct {
@@ -27,99 +27,101 @@
 	fields map[string]any
 }
 
-// maxLine bounds a log line; one names up to a few hundred shards.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum size of a log line, which names up to a few hundred shards.
+const maxLineBytes = 1 << 20
 
-// Request writes the story of the request with the given ID. It returns how
-// many lines named the request. What is no JSON line is passed over, and so are
-// prefixes before the first brace, such as those of a log collector.
+// Request writes the history of the request with the given ID and returns the
+// number of lines that name the request. Lines that are not JSON are skipped,
+// and so are prefixes before the first brace, such as those of a log collector.
 func Request(id string, logs []io.Reader, w io.Writer) (int, error) {
 	lines, err := parseAll(logs)
 	if err != nil {
 		return 0, err
 	}
-	var own []line
+	var matching []line
 	instances, leafs, contents := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
-		if l.text("request") != id {
+		if l.fieldText("request") != id {
 			continue
 		}
-		own = append(own, l)
-		instances[l.text("instance")] = true
-		leafs[l.text("leaf")] = true
-		contents[l.text("content")] = true
-		if tried, ok := l.fields["leafs"].([]any); ok {
-			for _, leaf := range tried {
+		matching = append(matching, l)
+		instances[l.fieldText("instance")] = true
+		leafs[l.fieldText("leaf")] = true
+		contents[l.fieldText("content")] = true
+		if requested, ok := l.fields["leafs"].([]any); ok {
+			for _, leaf := range requested {
 				leafs[fmt.Sprint(leaf)] = true
 			}
 		}
 	}
-	if len(own) == 0 {
+	if len(matching) == 0 {
 		return 0, nil
 	}
-	first, last := own[0].at, own[len(own)-1].at
+	first, last := matching[0].at, matching[len(matching)-1].at
 	for _, l := range lines {
-		if l.text("request") == id {
-			tell(w, l, "")
+		if l.fieldText("request") == id {
+			writeLine(w, l, "")
 			continue
 		}
-		if content := l.text("content"); content != "" && contents[content] {
-			tell(w, l, "  (same content) ")
+		if content := l.fieldText("content"); content != "" && contents[content] {
+			writeLine(w, l, "  (same content) ")
 			continue
 		}
-		near := !l.at.Before(first.Add(-contextBefore)) && !l.at.After(last)
-		if near && instances[l.text("instance")] && l.bearsOn(leafs) {
-			tell(w, l, "  (before) ")
+		recent := !l.at.Before(first.Add(-contextWindow)) && !l.at.After(last)
+		if recent && instances[l.fieldText("instance")] && l.concerns(leafs) {
+			writeLine(w, l, "  (before) ")
 		}
 	}
-	tellOver(w, own)
-	return len(own), nil
+	writeExcessRequests(w, matching)
+	return len(matching), nil
 }
 
-// tellOver writes which shards were sent to more leafs than their route allows, over all
-// instances that ran the request.
-func tellOver(w io.Writer, own []line) {
-	asked := map[string]map[string]string{}
+// writeExcessRequests reports the shards that were sent to more leafs than their route allows,
+// counted over all instances that ran the request.
+func writeExcessRequests(w io.Writer, matching []line) {
+	// sentBy holds the instance that sent the request, by shard and leaf.
+	sentBy := map[string]map[string]string{}
 	allowed := 0.0
-	for _, l := range own {
-		most, _ := l.fields["max_attempts"].(float64)
-		allowed = max(allowed, most)
+	for _, l := range matching {
+		maxAttempts, _ := l.fields["max_attempts"].(float64)
+		allowed = max(allowed, maxAttempts)
 		shards, _ := l.fields["asked"].(map[string]any)
 		for shard, leafs := range shards {
-			if asked[shard] == nil {
-				asked[shard] = map[string]string{}
+			if sentBy[shard] == nil {
+				sentBy[shard] = map[string]string{}
 			}
 			list, _ := leafs.([]any)
 			for _, leaf := range list {
-				asked[shard][fmt.Sprint(leaf)] = l.text("instance")
+				sentBy[shard][fmt.Sprint(leaf)] = l.fieldText("instance")
 			}
 		}
 	}
-	for _, shard := range slices.Sorted(maps.Keys(asked)) {
-		if len(asked[shard]) <= int(allowed) {
+	for _, shard := range slices.Sorted(maps.Keys(sentBy)) {
+		if len(sentBy[shard]) <= int(allowed) {
 			continue
 		}
-		var by []string
-		for _, leaf := range slices.Sorted(maps.Keys(asked[shard])) {
-			by = append(by, leaf+" by "+asked[shard][leaf])
+		var senders []string
+		for _, leaf := range slices.Sorted(maps.Keys(sentBy[shard])) {
+			senders = append(senders, leaf+" by "+sentBy[shard][leaf])
 		}
-		fmt.Fprintf(w, "shard %s was sent to %d leafs of %d that its route allows: %s\n", shard, len(by), int(allowed), strings.Join(by, ", "))
+		fmt.Fprintf(w, "shard %s was sent to %d leafs of %d that its route allows: %s\n", shard, len(senders), int(allowed), strings.Join(senders, ", "))
 	}
 }
 
-// bearsOn reports whether a change of belief may explain the request's fate.
-func (l line) bearsOn(leafs map[string]bool) bool {
-	if l.text("request") != "" {
+// concerns reports whether the line is a state change that may have affected a request to the given
+// leafs.
+func (l line) concerns(leafs map[string]bool) bool {
+	if l.fieldText("request") != "" {
 		return false
 	}
-	if leaf := l.text("leaf"); leaf != "" {
+	if leaf := l.fieldText("leaf"); leaf != "" {
 		return leafs[leaf]
 	}
 	return true
 }
 
-// text is a field as text, "" when it is missing.
-func (l line) text(field string) string {
+// fieldText returns a field as text, or "" if it is missing.
+func (l line) fieldText(field string) string {
 	v, ok := l.fields[field]
 	if !ok {
 		return ""
@@ -127,14 +129,14 @@
 	return fmt.Sprint(v)
 }
 
-// parseAll reads all logs and orders their lines by time.
+// parseAll reads all logs and sorts their lines by time.
 func parseAll(logs []io.Reader) ([]line, error) {
 	var out []line
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(nil, maxLine)
+		s.Buffer(nil, maxLineBytes)
 		for s.Scan() {
-			if l, ok := parse(s.Text()); ok {
+			if l, ok := parseLine(s.Text()); ok {
 				out = append(out, l)
 			}
 		}
@@ -146,8 +148,8 @@
 	return out, nil
 }
 
-// parse reads one line.
-func parse(text string) (line, bool) {
+// parseLine parses one log line and reports whether it is one.
+func parseLine(text string) (line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return line{}, false
@@ -164,17 +166,17 @@
 	return line{at: at, event: event, fields: fields}, true
 }
 
-// shownApart are the fields that stand at the start of a told line, or say
-// nothing more.
-var shownApart = map[string]bool{"time": true, "event": true, "level": true, "instance": true, "zone": true, "request": true}
+// hiddenFields are the fields that are written at the start of a line, or that
+// add nothing to it.
+var hiddenFields = map[string]bool{"time": true, "event": true, "level": true, "instance": true, "zone": true, "request": true}
 
-// tell writes one line.
-func tell(w io.Writer, l line, prefix string) {
+// writeLine writes one log line in readable form.
+func writeLine(w io.Writer, l line, prefix string) {
 	var rest []string
 	for _, name := range slices.SortedFunc(maps.Keys(l.fields), cmp.Compare) {
-		if !shownApart[name] {
+		if !hiddenFields[name] {
 			rest = append(rest, fmt.Sprintf("%s=%v", name, l.fields[name]))
 		}
 	}
-	fmt.Fprintf(w, "%s%s %s %s %s\n", prefix, l.at.Format("15:04:05.000"), l.text("instance"), l.event, strings.Join(rest, " "))
+	fmt.Fprintf(w, "%s%s %s %s %s\n", prefix, l.at.Format("15:04:05.000"), l.fieldText("instance"), l.event, strings.Join(rest, " "))
 }
--- a/pkg/explain/explain_test.go
+++ b/pkg/explain/explain_test.go
@@ -21,7 +21,7 @@
 
 const logB = `{"time":"2026-05-04T15:39:29.000Z","event":"store_lost","instance":"b"}`
 
-func TestStoryInOrder(t *testing.T) {
+func TestRequestIsExplainedInTimeOrder(t *testing.T) {
 	var out bytes.Buffer
 	n, err := Request("r1", []io.Reader{strings.NewReader(logA), strings.NewReader(logB)}, &out)
 	require.NoError(t, err)
@@ -34,14 +34,14 @@
 	}, "\n")+"\n", out.String())
 }
 
-func TestUnknownRequest(t *testing.T) {
+func TestUnknownRequestMatchesNoLine(t *testing.T) {
 	n, err := Request("r9", []io.Reader{strings.NewReader(logA)}, io.Discard)
 	require.NoError(t, err)
 	require.Zero(t, n)
 }
 
-// A request that comes again has another ID: what its content met before is told too.
-func TestStoryNamesTheSameContent(t *testing.T) {
+// A retry has another request ID: lines of earlier requests with the same content must be included.
+func TestRequestsWithSameContentAreIncluded(t *testing.T) {
 	log := `{"time":"2026-05-04T15:39:20.000Z","event":"leaf_ended","instance":"b","request":"r0","content":"c1","leaf":"i-1"}
 {"time":"2026-05-04T15:39:29.100Z","event":"leaf_ended","instance":"a","request":"r1","content":"c1","leaf":"i-2"}
 {"time":"2026-05-04T15:39:29.200Z","event":"leaf_ended","instance":"a","request":"r2","content":"c2","leaf":"i-2"}
@@ -53,8 +53,9 @@
 	require.Equal(t, "  (same content) 15:39:20.000 b leaf_ended content=c1 leaf=i-1\n15:39:29.100 a leaf_ended content=c1 leaf=i-2\n", out.String())
 }
 
-// A query that two instances ran is told as one: which shards it asked too often, and who did.
-func TestStoryNamesShardsAskedTooOften(t *testing.T) {
+// Requests for a query that two instances ran are counted together: the output must name the shards
+// that were sent to too many leafs, and the instances that sent them.
+func TestShardsSentToTooManyLeafsAreReported(t *testing.T) {
 	log := `{"time":"2026-05-04T15:39:29.100Z","event":"query_asked","instance":"a","request":"r1","max_attempts":2,"asked":{"s1":["i-1","i-2"],"s2":["i-5"]}}
 {"time":"2026-05-04T15:39:29.200Z","event":"query_asked","instance":"b","request":"r1","max_attempts":2,"asked":{"s1":["i-3"],"s2":["i-5","i-6"]}}
 `
