--- a/pkg/service/client.go
+++ b/pkg/service/client.go
@@ -13,13 +13,13 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// Client makes JSON calls over HTTP with a capped connection pool per host.
+// Client makes JSON calls over HTTP with a bounded connection pool per host.
 type Client struct {
-	c *client.Client
+	http *client.Client
 }
 
-// StatusError is returned when the peer answered with a status other than
-// 200 and a body that did not decode into the reply.
+// StatusError reports a reply without a usable body: the body did not decode,
+// or the status was not 200 and no body was expected.
 type StatusError struct {
 	Status int
 	Body   string
@@ -27,10 +27,10 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// NewClient builds a client with at most connsPerHost connections to any
-// one host. The library's own retries are turned off: whether a request may
-// be sent twice is decided by the caller, never by the transport, because a
-// transparent resend of a not-repeatable request would run it twice.
+// NewClient returns a client with at most connsPerHost connections to each
+// host. The retries of the HTTP library are disabled: the caller decides
+// whether a request may be sent twice, never the transport, because a
+// transparent resend of a request that is not repeatable could run it twice.
 func NewClient(connsPerHost int, dialTimeout time.Duration) (*Client, error) {
 	c, err := client.NewClient(
 		client.WithMaxConnsPerHost(connsPerHost),
@@ -43,13 +43,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Client{c: c}, nil
+	return &Client{http: c}, nil
 }
 
-// Do sends body (JSON-encoded unless nil) with method to url, sets headers,
-// and decodes a JSON reply into out. A reply that decodes is returned with
-// its status even when the status is not 200, so callers can read result
-// codes; otherwise a *StatusError.
+// Do sends a request with the given headers, and with body encoded as JSON
+// unless it is nil, and decodes the JSON reply into out. A reply that decodes
+// is returned with its status even if that is not 200, so that callers can read
+// result codes. Otherwise the error is a *StatusError.
 func (c *Client) Do(ctx context.Context, method, url string, headers map[string]string, body, out any, deadline time.Time) (int, error) {
 	req := protocol.AcquireRequest()
 	resp := protocol.AcquireResponse()
@@ -68,7 +68,7 @@
 		req.SetBodyRaw(raw)
 		req.Header.SetContentTypeBytes([]byte("application/json"))
 	}
-	if err := c.c.DoDeadline(ctx, req, resp, deadline); err != nil {
+	if err := c.http.DoDeadline(ctx, req, resp, deadline); err != nil {
 		return 0, err
 	}
 	status := resp.StatusCode()
@@ -82,13 +82,14 @@
 	return status, nil
 }
 
-// NotSent reports whether err, from Do, shows that no byte of the request
-// left: the connection could not be opened. Only then may a not-repeatable
-// request be called "not run"; after any other error it may have run.
+// NotSent reports whether err, returned by Do, proves that no byte of the
+// request was sent, because the connection could not be opened. Only then may a
+// request that is not repeatable be reported as not run; after any other error
+// it may have run.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
 // Close releases idle connections.
-func (c *Client) Close() { c.c.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/pkg/service/gone_test.go
+++ b/pkg/service/disconnect_test.go
@@ -11,19 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCallerGoneBeforeItsRequestIsRead checks that a request whose caller
-// has closed its connection is told apart from one whose caller waits.
-//
-// Symptom: work runs for a caller that left before the request was read.
-// Sequence: two callers connect and send a request while the server does
-// not accept yet; one closes its connection; the server starts.
-// Cause it guards against: only sensing a close some time after the handler
-// has begun.
-func TestCallerGoneBeforeItsRequestIsRead(t *testing.T) {
+// Guards against work for a caller that disconnected before its request was
+// read. A caller sends a request and closes its connection while the server does
+// not accept yet; then the server starts. A server that detects the close only
+// some time after the handler has started would run the request. A second caller,
+// which waits for its answer, must not be reported as disconnected.
+func TestCallerThatDisconnectedBeforeRequestIsReadIsDetected(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", time.Second, metrics.NewSet(), func() any { return nil }, nil)
 	require.NoError(t, err)
-	gone := make(chan bool, 2)
-	s.Hertz.GET("/probe", func(ctx context.Context, c *app.RequestContext) { gone <- CallerDisconnected(ctx) })
+	disconnected := make(chan bool, 2)
+	s.Hertz.GET("/probe", func(ctx context.Context, c *app.RequestContext) { disconnected <- CallerDisconnected(ctx) })
 	send := func() net.Conn {
 		conn, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
@@ -33,9 +30,9 @@
 	}
 	require.NoError(t, send().Close())
 	s.Start()
-	require.True(t, <-gone)
+	require.True(t, <-disconnected)
 	waiting := send()
 	defer waiting.Close()
-	require.False(t, <-gone)
+	require.False(t, <-disconnected)
 	require.NoError(t, s.StopIdle(context.Background()))
 }
--- a/pkg/service/service.go
+++ b/pkg/service/service.go
@@ -1,7 +1,6 @@
-// Package service owns the plumbing that every indigoyoke process shares: a
-// hertz server on a loopback or configured listener, the /metrics and
-// /debug/state endpoints, JSON calls through the hertz client, structured
-// logs, and a graceful stop.
+// Package service provides what every indigoyoke process needs: a hertz server
+// with the /metrics and /debug/state endpoints and a graceful stop, JSON calls
+// through the hertz client, and structured logs.
 package service
 
 import (
@@ -17,31 +16,34 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Paths every process serves.
+// Paths that the processes serve.
 const (
 	PathMetrics = "/metrics"
 	PathState   = "/debug/state"
 	PathHealth  = "/healthz"
 )
 
-// StateFunc returns a JSON-encodable dump of a process's state.
+// StateFunc returns a dump of the process's state that can be encoded as JSON.
 type StateFunc func() any
 
-// Server is a hertz server bound to a listener that exists before Start
-// returns, so callers can connect at once.
+// Server is a hertz server on a listener that is open before the server is
+// started, so that callers can connect immediately.
 type Server struct {
+	// Hertz is the underlying server, to register routes.
 	Hertz    *server.Hertz
 	listener net.Listener
-	done     chan error
+	// done receives the result of the server's run.
+	done chan error
 }
 
 func init() {
 	hlog.SetLevel(hlog.LevelFatal)
 }
 
-// Listen binds addr (host:port; port 0 picks one) and prepares a hertz
-// server on it with the metrics and state endpoints. exitWait bounds how
-// long Stop waits for requests in flight. set may be nil.
+// Listen opens a listener on addr (host:port; port 0 selects a free port) and
+// returns a server for it with the metrics and state endpoints. exitWait is the
+// maximum time for which Stop waits for requests in flight. set may be nil, and
+// so may wrap, which wraps the listener.
 func Listen(addr string, exitWait time.Duration, set *metrics.Set, state StateFunc, wrap func(net.Listener) net.Listener) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -56,7 +58,7 @@
 		server.WithExitWaitTime(exitWait),
 		server.WithDisablePrintRoute(true),
 		server.WithIdleTimeout(30*time.Second),
-		// A handler's context ends when its caller closes the connection.
+		// Ends a handler's context when the caller closes the connection.
 		server.WithSenseClientDisconnection(true),
 		server.WithOnAccept(withConn),
 	)
@@ -73,36 +75,39 @@
 	return &Server{Hertz: h, listener: ln, done: make(chan error, 1)}, nil
 }
 
-// Addr is the bound address.
+// Addr returns the bound address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Start serves in the background.
+// Start runs the server in the background and returns when it accepts
+// connections.
 func (s *Server) Start() {
 	go func() { s.done <- s.Hertz.Run() }()
-	waitReady(s.Addr())
+	waitUntilListening(s.Addr())
 }
 
-// Stop closes the listener and waits for requests in flight, at most the
-// exit wait given to Listen.
+// Stop closes the listener and waits for requests in flight, for at most the
+// exitWait given to Listen.
 func (s *Server) Stop(ctx context.Context) error {
 	return s.Hertz.Shutdown(ctx)
 }
 
-// idleWait bounds the wait for connections once nothing is in flight. The
-// server library otherwise waits for each keep-alive connection to reach its
-// idle timeout, which would hold a stop for that long with no work left.
-const idleWait = 100 * time.Millisecond
+// idleShutdownTimeout is the maximum wait for open connections once no request
+// is in flight. Without it, the server library waits until each keep-alive
+// connection has reached its idle timeout, which delays a stop although no work
+// is left.
+const idleShutdownTimeout = 100 * time.Millisecond
 
-// StopIdle stops a server whose owner has already seen every request in
-// flight finish: it closes the listener and drops idle connections after a
-// short wait.
+// StopIdle stops a server that has no request in flight: it closes the listener,
+// and the idle connections after a short wait.
 func (s *Server) StopIdle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, idleWait)
+	ctx, cancel := context.WithTimeout(ctx, idleShutdownTimeout)
 	defer cancel()
 	return s.Hertz.Shutdown(ctx)
 }
 
-func waitReady(addr string) {
+// waitUntilListening returns when a connection to addr can be opened, or after
+// 200 attempts.
+func waitUntilListening(addr string) {
 	for i := 0; i < 200; i++ {
 		conn, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err == nil {
@@ -113,10 +118,11 @@
 	}
 }
 
-// Log is a structured logger with the process's name and zone on every line.
+// Log is a structured logger that adds the process's name and zone to every
+// line.
 type Log = logrus.Entry
 
-// Sleep waits for d or until ctx ends, whichever is first.
+// Sleep waits for d, or until ctx ends if that is earlier.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -126,15 +132,15 @@
 	}
 }
 
-// Logger returns a JSON logrus logger with the process name and zone on
-// every line.
+// Logger returns a JSON logger that adds the kind of process, its name and its
+// zone to every line.
 func Logger(process, name, zone string) *Log {
 	l := logrus.New()
 	l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	return l.WithFields(logrus.Fields{"process": process, "name": name, "zone": zone})
 }
 
-// DecodeBody parses a JSON request body into out.
+// DecodeBody decodes a JSON request body into out.
 func DecodeBody(c *app.RequestContext, out any) error {
 	return codec.Unmarshal(c.Request.Body(), out)
 }
