--- a/pkg/cli/bench.go
+++ b/pkg/cli/bench.go
@@ -15,39 +15,42 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// mix is one deployment's measured workload: what it asks, its deadline,
-// and the stragglers the backend servers produce.
-type mix struct {
+// workload is the benchmark of one deployment: the queries, their deadline, and
+// the slow requests that the backend servers simulate.
+type workload struct {
 	user      demo.User
 	app, key  string
 	index     string
 	text      string
 	timeoutMs int
-	slowPct   int
-	slowMs    int
-	// slowUnitMs slows every request to the first backend server of the
-	// callers' own zone; 0: none.
-	slowUnitMs int
+	// slowPct is the percentage of leaf requests that are delayed by slowMs.
+	slowPct int
+	slowMs  int
+	// slowServerMs is the delay of every request to the first backend server
+	// in the callers' own zone; zero means no such delay.
+	slowServerMs int
 }
 
-// The two deployments' mixes. Lipovec Vizija's suggestions run on a tight
-// deadline with short stragglers; Lakeshore Haven's bed search has a longer
-// deadline and stragglers that outlast it.
-var mixes = map[demo.User]mix{
+// workloads holds the workloads of the two deployments. The suggestions of
+// Lipovec Vizija have a tight deadline and short stragglers. The bed search of
+// Lakeshore Haven has a longer deadline, and its stragglers exceed that
+// deadline.
+var workloads = map[demo.User]workload{
 	demo.Lipovec:   {user: demo.Lipovec, app: "cad-viewer", key: "cad-viewer-key", index: "viewer-api", text: "bracket", timeoutMs: 100, slowPct: 2, slowMs: 40},
 	demo.Lakeshore: {user: demo.Lakeshore, app: "crisis-line", key: "crisis-line-key", index: "shelter-console", text: "open", timeoutMs: 250, slowPct: 3, slowMs: 400},
 }
 
-// BenchRun is one measured run of one policy.
+// BenchRun holds the measurements of one run of one policy.
 type BenchRun struct {
-	Load      LoadReport
+	Load LoadReport
+	// ExtraLoad is the number of additional leaf requests per requested shard.
 	ExtraLoad float64
 }
 
-// BenchCmd measures the naive fan-out against the hedged policy, side by
-// side in one process, for each deployment's mix.
+// BenchCmd compares the naive fan-out with the hedged policy, in one process,
+// for the workload of each deployment.
 func BenchCmd() *cobra.Command {
-	var runs, requests, concurrency, slowPct, slowMs, slowUnitMs int
+	var runs, requests, concurrency, slowPct, slowMs, slowServerMs int
 	var qps float64
 	var users string
 	cmd := &cobra.Command{
@@ -55,59 +58,59 @@
 		Short: "Measure tail latency, coverage and extra load: naive fan-out vs hedged policy",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, u := range strings.Split(users, ",") {
-				m, ok := mixes[demo.User(u)]
+				wl, ok := workloads[demo.User(u)]
 				if !ok {
 					return fmt.Errorf("unknown user %q", u)
 				}
 				if slowPct >= 0 {
-					m.slowPct = slowPct
+					wl.slowPct = slowPct
 				}
 				if slowMs >= 0 {
-					m.slowMs = slowMs
+					wl.slowMs = slowMs
 				}
-				m.slowUnitMs = slowUnitMs
-				if err := benchMix(cmd.OutOrStdout(), m, runs, requests, concurrency, qps); err != nil {
+				wl.slowServerMs = slowServerMs
+				if err := benchWorkload(cmd.OutOrStdout(), wl, runs, requests, concurrency, qps); err != nil {
 					return err
 				}
 			}
 			return nil
 		},
 	}
-	// --runs repeats each policy (alternating); --requests and
-	// --concurrency shape each run; --users picks the mixes.
+	// --runs is the number of runs of each policy, which alternate; --requests and
+	// --concurrency define each run; --users selects the workloads.
 	cmd.Flags().IntVar(&runs, "runs", 5, "runs of each policy, alternating")
 	cmd.Flags().IntVar(&requests, "requests", 600, "searches per run")
 	cmd.Flags().IntVar(&concurrency, "concurrency", 16, "concurrent callers")
-	cmd.Flags().Float64Var(&qps, "rate", 100, "searches a second in all, below the stand-ins' slot capacity")
-	cmd.Flags().StringVar(&users, "users", "lipovec,lakeshore", "mixes to run")
-	// --slow-percent and --slow-ms override the mix's stragglers (-1: keep).
-	cmd.Flags().IntVar(&slowPct, "slow-percent", -1, "percent of leaf requests slowed (-1: the mix's)")
-	cmd.Flags().IntVar(&slowMs, "slow-ms", -1, "delay of a slowed leaf request in ms (-1: the mix's)")
-	// --slow-unit-ms adds a backend server of the callers' own zone that is
-	// slow on every request.
-	cmd.Flags().IntVar(&slowUnitMs, "slow-unit-ms", 0, "delay of every request to one backend server in the callers' zone (0: none)")
+	cmd.Flags().Float64Var(&qps, "rate", 100, "total searches per second, below the stand-ins' slot capacity")
+	cmd.Flags().StringVar(&users, "users", "lipovec,lakeshore", "workloads to run")
+	// --slow-percent and --slow-ms override the workload's stragglers; -1 keeps them.
+	cmd.Flags().IntVar(&slowPct, "slow-percent", -1, "percentage of leaf requests that are delayed (-1: as the workload defines)")
+	cmd.Flags().IntVar(&slowMs, "slow-ms", -1, "delay of a slow leaf request in ms (-1: as the workload defines)")
+	// --slow-unit-ms makes one backend server in the callers' own zone slow on
+	// every request.
+	cmd.Flags().IntVar(&slowServerMs, "slow-unit-ms", 0, "delay in ms of every request to one backend server in the callers' zone (0: none)")
 	return cmd
 }
 
-func benchMix(w io.Writer, m mix, runs, requests, concurrency int, qps float64) error {
+func benchWorkload(w io.Writer, wl workload, runs, requests, concurrency int, qps float64) error {
 	results := map[string][]BenchRun{}
 	for r := 0; r < runs; r++ {
 		for _, policy := range []string{settings.PolicyNaive, settings.PolicyHedged} {
-			run, err := benchOnce(m, policy, requests, concurrency, qps)
+			run, err := runOnce(wl, policy, requests, concurrency, qps)
 			if err != nil {
 				return err
 			}
 			results[policy] = append(results[policy], run)
 			fmt.Fprintf(w, "%s %s run=%d p50_ms=%.2f p99_ms=%.2f p999_ms=%.2f coverage=%.4f extra_load=%.4f errors=%d\n",
-				m.user, policy, r+1, run.Load.P50Ms, run.Load.P99Ms, run.Load.P999Ms, run.Load.Coverage, run.ExtraLoad, run.Load.Errors)
+				wl.user, policy, r+1, run.Load.P50Ms, run.Load.P99Ms, run.Load.P999Ms, run.Load.Coverage, run.ExtraLoad, run.Load.Errors)
 		}
 	}
-	summarize(w, m.user, results)
+	summarize(w, wl.user, results)
 	return nil
 }
 
-func benchOnce(m mix, policy string, requests, concurrency int, qps float64) (BenchRun, error) {
-	c, err := demo.StartCluster(m.user, io.Discard, func(l *demo.Layout) {
+func runOnce(wl workload, policy string, requests, concurrency int, qps float64) (BenchRun, error) {
+	c, err := demo.StartCluster(wl.user, io.Discard, func(l *demo.Layout) {
 		for i := range l.Entries {
 			l.Entries[i].Policy = policy
 		}
@@ -116,33 +119,33 @@
 		return BenchRun{}, err
 	}
 	defer c.Stop()
-	if err := m.slowDown(c); err != nil {
+	if err := wl.injectDelays(c); err != nil {
 		return BenchRun{}, err
 	}
-	cl, err := caller.New(m.app, m.key)
+	cl, err := caller.New(wl.app, wl.key)
 	if err != nil {
 		return BenchRun{}, err
 	}
-	req := wire.SearchRequest{Deployment: demo.Deployment(m.user), Index: m.index, Text: m.text, TimeoutMs: m.timeoutMs}
+	req := wire.SearchRequest{Deployment: demo.Deployment(wl.user), Index: wl.index, Text: wl.text, TimeoutMs: wl.timeoutMs}
 	addr := c.Entries[c.EntryNames()[0]].Addr()
 	RunLoad(cl, addr, req, requests/10, concurrency, qps)
-	before := received(c)
+	before := totalReceived(c)
 	rep := RunLoad(cl, addr, req, requests, concurrency, qps)
 	run := BenchRun{Load: rep}
 	if rep.ShardsRequested > 0 {
-		run.ExtraLoad = float64(received(c)-before)/float64(rep.ShardsRequested) - 1
+		run.ExtraLoad = float64(totalReceived(c)-before)/float64(rep.ShardsRequested) - 1
 	}
 	return run, nil
 }
 
-// slowDown puts the mix's stragglers, and its slow unit, on the backend
-// servers.
-func (m mix) slowDown(c *demo.Cluster) error {
-	slowUnit := c.Layout.Backends[0].Name
+// injectDelays configures the workload's stragglers, and its slow server if it
+// has one, on the backend servers.
+func (wl workload) injectDelays(c *demo.Cluster) error {
+	slowServer := c.Layout.Backends[0].Name
 	for name, b := range c.Backends {
-		ctl := backend.Control{Action: backend.ActSlow, DelayMs: m.slowMs, Percent: m.slowPct}
-		if m.slowUnitMs > 0 && name == slowUnit {
-			ctl.DelayMs, ctl.Percent = m.slowUnitMs, 0
+		ctl := backend.Control{Action: backend.ActSlow, DelayMs: wl.slowMs, Percent: wl.slowPct}
+		if wl.slowServerMs > 0 && name == slowServer {
+			ctl.DelayMs, ctl.Percent = wl.slowServerMs, 0
 		}
 		if err := b.Apply(ctl); err != nil {
 			return err
@@ -151,7 +154,9 @@
 	return nil
 }
 
-func received(c *demo.Cluster) uint64 {
+// totalReceived returns the number of leaf requests that all backend servers
+// have received.
+func totalReceived(c *demo.Cluster) uint64 {
 	var n uint64
 	for _, b := range c.Backends {
 		n += b.Received()
@@ -173,19 +178,19 @@
 	fmt.Fprintf(w, "\n%s summary (median [min, max] over %d runs)\n", u, len(results[settings.PolicyNaive]))
 	fmt.Fprintf(w, "| figure | naive | hedged | ratio hedged/naive (median of pairs) |\n|---|---|---|---|\n")
 	for _, f := range figures {
-		n, h := values(results[settings.PolicyNaive], f.get), values(results[settings.PolicyHedged], f.get)
+		naive, hedged := figureValues(results[settings.PolicyNaive], f.get), figureValues(results[settings.PolicyHedged], f.get)
 		var ratios []float64
-		for i := range n {
-			if n[i] != 0 {
-				ratios = append(ratios, h[i]/n[i])
+		for i := range naive {
+			if naive[i] != 0 {
+				ratios = append(ratios, hedged[i]/naive[i])
 			}
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s |\n", f.name, spread(n), spread(h), ratioText(ratios))
+		fmt.Fprintf(w, "| %s | %s | %s | %s |\n", f.name, medianAndRange(naive), medianAndRange(hedged), medianRatio(ratios))
 	}
 	fmt.Fprintln(w)
 }
 
-func values(runs []BenchRun, get func(BenchRun) float64) []float64 {
+func figureValues(runs []BenchRun, get func(BenchRun) float64) []float64 {
 	out := make([]float64, len(runs))
 	for i, r := range runs {
 		out[i] = get(r)
@@ -193,7 +198,8 @@
 	return out
 }
 
-func spread(v []float64) string {
+// medianAndRange formats the median, the minimum and the maximum of v.
+func medianAndRange(v []float64) string {
 	s := append([]float64(nil), v...)
 	sort.Float64s(s)
 	if len(s) == 0 {
@@ -202,7 +208,8 @@
 	return fmt.Sprintf("%.3f [%.3f, %.3f]", s[len(s)/2], s[0], s[len(s)-1])
 }
 
-func ratioText(r []float64) string {
+// medianRatio formats the median of r, which it sorts.
+func medianRatio(r []float64) string {
 	if len(r) == 0 {
 		return "-"
 	}
--- a/pkg/cli/evacuate_test.go
+++ b/pkg/cli/evacuate_test.go
@@ -11,9 +11,9 @@
 	"github.com/indigoyoke/indigoyoke/pkg/demo"
 )
 
-// TestEvacuateCommand guards against an operator's command that changes nothing, or hides that it
-// was refused.
-func TestEvacuateCommand(t *testing.T) {
+// Guards against an operator command that has no effect, or that hides that the configuration service
+// refused the change.
+func TestEvacuateCommandAppliesOrReportsRefusal(t *testing.T) {
 	c, err := demo.StartCluster(demo.Lipovec, io.Discard)
 	require.NoError(t, err)
 	t.Cleanup(c.Stop)
--- a/pkg/cli/explain.go
+++ b/pkg/cli/explain.go
@@ -10,14 +10,14 @@
 	"github.com/indigoyoke/indigoyoke/pkg/explain"
 )
 
-// ExplainCmd prints the story of one request from the logs of instances.
+// ExplainCmd prints the history of one request from the logs of the instances.
 func ExplainCmd() *cobra.Command {
 	var id string
 	cmd := &cobra.Command{
 		Use:   "explain --request ID [FILES...]",
-		Short: "Print what the logs say of one request, in order (standard input without files)",
+		Short: "Print what the logs say about one request, in time order (reads standard input without files)",
 		RunE: func(cmd *cobra.Command, files []string) error {
-			logs, closeAll, err := openAll(files, cmd.InOrStdin())
+			logs, closeAll, err := openLogs(files, cmd.InOrStdin())
 			if err != nil {
 				return err
 			}
@@ -27,19 +27,20 @@
 				return err
 			}
 			if n == 0 {
-				return fmt.Errorf("no line names request %q; answered without a decision worth a line, or its line was over the log's budget", id)
+				return fmt.Errorf("no line names request %q: either it caused no decision that is logged, or its lines exceeded the log's budget", id)
 			}
 			return nil
 		},
 	}
 	// --request is the ID that the caller sent.
 	cmd.Flags().StringVar(&id, "request", "", "request ID")
-	_ = cmd.MarkFlagRequired("request") // Fails only for a flag that does not exist.
+	_ = cmd.MarkFlagRequired("request") // Fails only if the flag does not exist.
 	return cmd
 }
 
-// openAll opens the files, or takes in when there are none.
-func openAll(files []string, in io.Reader) ([]io.Reader, func(), error) {
+// openLogs opens the files, or returns in if there are none. The returned
+// function closes what was opened.
+func openLogs(files []string, in io.Reader) ([]io.Reader, func(), error) {
 	if len(files) == 0 {
 		return []io.Reader{in}, func() {}, nil
 	}
@@ -47,7 +48,7 @@
 	var opened []*os.File
 	closeAll := func() {
 		for _, f := range opened {
-			_ = f.Close() // Read only.
+			_ = f.Close() // The file was only read.
 		}
 	}
 	for _, name := range files {
--- a/pkg/cli/load.go
+++ b/pkg/cli/load.go
@@ -15,25 +15,27 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// Histogram range for answer latency, in microseconds.
+// Range, in microseconds, and significant digits of the latency histogram.
 const (
-	histMinUs = 1
-	histMaxUs = 60_000_000
-	histSig   = 3
+	minLatencyUs    = 1
+	maxLatencyUs    = 60_000_000
+	histogramDigits = 3
 )
 
-// LoadReport is what a load run measured.
+// LoadReport holds the measurements of a load run.
 type LoadReport struct {
-	Requests        int64
-	Errors          int64
-	P50Ms           float64
-	P99Ms           float64
-	P999Ms          float64
+	Requests int64
+	Errors   int64
+	P50Ms    float64
+	P99Ms    float64
+	P999Ms   float64
+	// Coverage is the fraction (0 to 1) of requested shards that answered, over
+	// all searches without an error.
 	Coverage        float64
 	ShardsRequested int64
 }
 
-// LoadCmd drives a bounded number of searches at an entry instance.
+// LoadCmd sends a bounded number of searches to an entry instance.
 func LoadCmd() *cobra.Command {
 	var f clientFlags
 	var text string
@@ -55,20 +57,20 @@
 		},
 	}
 	f.add(cmd)
-	// --requests bounds the run; --concurrency is the number of callers.
+	// --requests is the length of the run; --concurrency is the number of callers.
 	cmd.Flags().StringVar(&text, "text", "", "search text")
 	cmd.Flags().IntVar(&requests, "requests", 1000, "searches to send")
 	cmd.Flags().IntVar(&concurrency, "concurrency", 8, "concurrent callers")
-	cmd.Flags().Float64Var(&qps, "rate", 0, "searches a second in all (0: unpaced)")
+	cmd.Flags().Float64Var(&qps, "rate", 0, "total searches per second (0: no limit)")
 	return cmd
 }
 
-// RunLoad sends n searches from c concurrent callers, at most rate a
-// second in all (0: as fast as the callers go), and measures them. A rate
-// keeps the offered load fixed, so a policy that answers faster is not
-// also sent more work than the other.
+// RunLoad sends n searches from c concurrent callers, at most qps per second in
+// total (0 means no limit), and measures them. A limit keeps the offered load
+// constant, so that a policy that answers faster does not also receive more
+// load than the other.
 func RunLoad(cl *caller.Client, addr string, req wire.SearchRequest, n, c int, qps float64) LoadReport {
-	h := hdrhistogram.New(histMinUs, histMaxUs, histSig)
+	h := hdrhistogram.New(minLatencyUs, maxLatencyUs, histogramDigits)
 	limit := rate.NewLimiter(rate.Inf, 1)
 	if qps > 0 {
 		limit = rate.NewLimiter(rate.Limit(qps), 1)
--- a/pkg/cli/node.go
+++ b/pkg/cli/node.go
@@ -16,11 +16,11 @@
 	"github.com/indigoyoke/indigoyoke/platform"
 )
 
-// nodeFileVariable names the variable that holds the path of the settings
+// nodeFileEnv is the environment variable that holds the path of the settings
 // file on the users' platform.
-const nodeFileVariable = "INDIGOYOKE_NODE_FILE"
+const nodeFileEnv = "INDIGOYOKE_NODE_FILE"
 
-// platformAdapter connects the node to the users' platform.
+// platformAdapter returns the protocols of the users' platform.
 func platformAdapter() node.Adapter {
 	return node.Adapter{
 		ReadyPath:     platform.PathReady,
@@ -36,9 +36,9 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:   "node",
-		Short: "Serve callers of the users' platform (settings: $" + nodeFileVariable + ")",
+		Short: "Serve callers of the users' platform (settings: $" + nodeFileEnv + ")",
 		RunE: func(_ *cobra.Command, _ []string) error {
-			n, err := node.New(nodeFile(path), platformAdapter())
+			n, err := node.New(nodeSettingsPath(path), platformAdapter())
 			if err != nil {
 				return err
 			}
@@ -46,23 +46,23 @@
 			return nil
 		},
 	}
-	// --config overrides the variable.
+	// --config overrides the environment variable.
 	cmd.Flags().StringVar(&path, "config", "", "settings file (YAML)")
 	return cmd
 }
 
-func nodeFile(path string) string {
+func nodeSettingsPath(path string) string {
 	if path != "" {
 		return path
 	}
-	return os.Getenv(nodeFileVariable)
+	return os.Getenv(nodeFileEnv)
 }
 
-// CheckConfigCmd checks a settings file of a node without starting it.
+// CheckConfigCmd checks the settings file of a node without starting the node.
 func CheckConfigCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-config FILE",
-		Short: "Check a node's settings file; exit code 1 names the field that is wrong",
+		Short: "Check a node's settings file; an invalid field is named and the exit code is 1",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.LoadNode(args[0]); err != nil {
--- a/pkg/cli/node_test.go
+++ b/pkg/cli/node_test.go
@@ -14,7 +14,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/settings"
 )
 
-// execute runs a command with arguments and returns what it printed.
+// execute runs a command with the given input and arguments and returns its output.
 func execute(cmd *cobra.Command, in string, args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd.SetOut(&out)
@@ -26,7 +26,7 @@
 	return out.String(), err
 }
 
-func TestCheckConfig(t *testing.T) {
+func TestCheckConfigNamesInvalidField(t *testing.T) {
 	good := "name: n\nzone: z\nlisten: {callers: '127.0.0.1:0', readiness: '127.0.0.1:0'}\nstore: {address: '127.0.0.1:1'}\n"
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	require.NoError(t, os.WriteFile(path, []byte(good), 0o644))
@@ -48,23 +48,24 @@
 	require.ErrorContains(t, err, "no line names")
 }
 
-// section matches a part of the template that is filled in where the platform has a value.
-var section = regexp.MustCompile(`(?s)\{\{#bounds\.(\w+)\}\}(.*?)\{\{/bounds\.\w+\}\}`)
+// optionalSection matches a section of the template that is rendered only if the platform has a
+// value for it.
+var optionalSection = regexp.MustCompile(`(?s)\{\{#bounds\.(\w+)\}\}(.*?)\{\{/bounds\.\w+\}\}`)
 
-// fillIn fills the template in as the platform does, with the given bounds beside those that every
-// deployment has.
-func fillIn(t *testing.T, bounds map[string]string) string {
+// renderTemplate renders the template as the platform does, with the given bounds in addition to
+// those that every deployment has.
+func renderTemplate(t *testing.T, bounds map[string]string) string {
 	raw, err := os.ReadFile("../../deploy/node.yaml.tmpl")
 	require.NoError(t, err)
-	text := section.ReplaceAllStringFunc(string(raw), func(part string) string {
-		m := section.FindStringSubmatch(part)
+	text := optionalSection.ReplaceAllStringFunc(string(raw), func(section string) string {
+		m := optionalSection.FindStringSubmatch(section)
 		value, ok := bounds[m[1]]
 		if !ok {
 			return ""
 		}
 		return strings.ReplaceAll(m[2], "{{.}}", value)
 	})
-	filled := strings.NewReplacer(
+	rendered := strings.NewReplacer(
 		"{{nodeName|json}}", `"front-a-1"`, "{{zone|json}}", `"a"`, "{{listenAddrs.front|json}}", `"127.0.0.1:1"`,
 		"{{listenAddrs.readiness|json}}", `"127.0.0.1:2"`, "{{listenAddrs.control|json}}", `"127.0.0.1:3"`,
 		"{{platform.address|json}}", `"127.0.0.1:4"`, "{{ip}}", "127.0.0.1", "{{internalPorts.0}}", "7380", "{{seeds|json}}", `["10.1.0.9:8106","10.2.0.21:8106"]`, "{{bounds.graceS}}", "6",
@@ -72,18 +73,18 @@
 		"{{limits.cpuShare}}", "0.4", "{{bounds.budgetSlack}}", "56", `{{#zones}}"{{@}}"{{,}}{{/zones}}`, `"a","b"`, "{{bootstrap}}", "true",
 		`{{#zones}}"{{@}}": {{.|json}}{{,}}{{/zones}}`, `"a": "north","b": "north"`,
 	).Replace(text)
-	require.NotContains(t, filled, "{{")
-	return filled
+	require.NotContains(t, rendered, "{{")
+	return rendered
 }
 
-// TestDeployTemplateChecks guards against a template that does not start where a deployment
-// declares more bounds, or fewer.
-func TestDeployTemplateChecks(t *testing.T) {
+// Guards against a template with which a node does not start if the deployment declares more or
+// fewer bounds.
+func TestDeployTemplatePassesCheckWithAnyDeclaredBounds(t *testing.T) {
 	declared := map[string]string{"coldOverage": "1.5", "coldSlack": "5", "evacuateMs": "5000"}
 	for name, bounds := range map[string]map[string]string{"few bounds": nil, "all bounds": declared} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "node.yaml")
-			require.NoError(t, os.WriteFile(path, []byte(fillIn(t, bounds)), 0o644))
+			require.NoError(t, os.WriteFile(path, []byte(renderTemplate(t, bounds)), 0o644))
 			_, err := execute(CheckConfigCmd(), "", path)
 			require.NoError(t, err)
 			set, err := settings.LoadNode(path)
@@ -96,4 +97,4 @@
 	}
 }
 
-func TestVersionIsKnown(t *testing.T) { require.NotEmpty(t, Version()) }
+func TestVersionIsNotEmpty(t *testing.T) { require.NotEmpty(t, Version()) }
--- a/pkg/cli/ops.go
+++ b/pkg/cli/ops.go
@@ -18,12 +18,13 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// opTimeout bounds one operator call.
+// opTimeout is the timeout of one call of an operator command.
 const opTimeout = 5 * time.Second
 
+// opClient returns the HTTP client of the operator commands.
 func opClient() (*service.Client, error) { return service.NewClient(2, time.Second) }
 
-// PatchCmd submits a patch file against a numbered configuration version.
+// PatchCmd submits a patch file, which applies to one version of the configuration.
 func PatchCmd() *cobra.Command {
 	var addr, path string
 	cmd := &cobra.Command{
@@ -44,17 +45,18 @@
 			if err != nil {
 				return err
 			}
-			return submit(cmd, c, addr, p)
+			return submitPatch(cmd, c, addr, p)
 		},
 	}
-	// --platform is the configuration service's host:port; --file the patch.
+	// --platform is the host:port of the configuration service; --file is the patch.
 	cmd.Flags().StringVar(&addr, "platform", "127.0.0.1:17100", "configuration service host:port")
 	cmd.Flags().StringVar(&path, "file", "patch.yaml", "patch file (YAML)")
 	return cmd
 }
 
-// submit sends a patch to the configuration service and prints what became of it.
-func submit(cmd *cobra.Command, c *service.Client, addr string, p topology.Patch) error {
+// submitPatch sends a patch to the configuration service and prints the result. A refused patch is
+// an error.
+func submitPatch(cmd *cobra.Command, c *service.Client, addr string, p topology.Patch) error {
 	var res wire.PatchResult
 	_, err := c.Do(context.Background(), "POST", "http://"+addr+wire.PathPatch, nil, p, &res, time.Now().Add(opTimeout))
 	if err != nil {
@@ -67,14 +69,14 @@
 	return nil
 }
 
-// EvacuateCmd keeps new requests from the backend servers of an availability zone, or takes that
-// back.
+// EvacuateCmd evacuates an availability zone, whose backend servers then receive no new requests, or
+// readmits it.
 func EvacuateCmd() *cobra.Command {
 	var addr string
 	var readmit bool
 	cmd := &cobra.Command{
 		Use:   "evacuate ZONE",
-		Short: "Keep new requests from the backend servers of an availability zone, until it is readmitted",
+		Short: "Stop new requests to the backend servers of an availability zone until it is readmitted",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := opClient()
@@ -89,16 +91,16 @@
 			if readmit {
 				op.Kind = topology.OpReadmit
 			}
-			return submit(cmd, c, addr, topology.Patch{BaseVersion: current.Version, Ops: []topology.Op{op}})
+			return submitPatch(cmd, c, addr, topology.Patch{BaseVersion: current.Version, Ops: []topology.Op{op}})
 		},
 	}
-	// --platform is the configuration service's host:port; --readmit ends the evacuation.
+	// --platform is the host:port of the configuration service; --readmit ends the evacuation.
 	cmd.Flags().StringVar(&addr, "platform", "127.0.0.1:17100", "configuration service host:port")
-	cmd.Flags().BoolVar(&readmit, "readmit", false, "take the zone back")
+	cmd.Flags().BoolVar(&readmit, "readmit", false, "end the evacuation of the zone")
 	return cmd
 }
 
-// DumpCmd prints any process's state dump.
+// DumpCmd prints the state dump of any process.
 func DumpCmd() *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{
@@ -119,12 +121,12 @@
 			return nil
 		},
 	}
-	// --addr is the process's host:port.
+	// --addr is the host:port of the process.
 	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:17100", "process host:port")
 	return cmd
 }
 
-// ControlCmd sends a fault or control action to a stand-in.
+// ControlCmd sends a fault injection or another control action to a stand-in.
 func ControlCmd() *cobra.Command {
 	var addr, body string
 	cmd := &cobra.Command{
@@ -143,26 +145,29 @@
 			return nil
 		},
 	}
-	// --addr is the stand-in's host:port; --body the JSON control action.
+	// --addr is the host:port of the stand-in; --body is the control action in JSON.
 	cmd.Flags().StringVar(&addr, "addr", "", "stand-in host:port")
 	cmd.Flags().StringVar(&body, "body", `{"action":"heal"}`, "control action (JSON)")
 	return cmd
 }
 
+// clientFlags holds the flags of the commands that send requests as a client
+// application.
 type clientFlags struct {
 	entry, app, key, deployment, index string
 	timeoutMs                          int
 }
 
 func (f *clientFlags) add(cmd *cobra.Command) {
-	// --entry is the entry instance's host:port; --app and --key the client
-	// application's credentials; --deployment and --index what to query.
+	// --entry is the host:port of the entry instance; --app and --key are the
+	// credentials of the client application; --deployment and --index select
+	// what is queried.
 	cmd.Flags().StringVar(&f.entry, "entry", "127.0.0.1:17131", "entry instance host:port")
 	cmd.Flags().StringVar(&f.app, "app", "", "client application ID")
 	cmd.Flags().StringVar(&f.key, "key", "", "client application key")
 	cmd.Flags().StringVar(&f.deployment, "deployment", "", "brand deployment")
 	cmd.Flags().StringVar(&f.index, "index", "", "index")
-	cmd.Flags().IntVar(&f.timeoutMs, "timeout-ms", 0, "caller's timeout in ms (0: the entry's default)")
+	cmd.Flags().IntVar(&f.timeoutMs, "timeout-ms", 0, "caller's timeout in ms (0: the default of the entry instance)")
 }
 
 // SearchCmd sends one search and prints the answer.
@@ -189,17 +194,17 @@
 	}
 	f.add(cmd)
 	cmd.Flags().StringVar(&text, "text", "", "search text")
-	cmd.Flags().IntVar(&limit, "limit", 0, "hits per shard (0: all)")
+	cmd.Flags().IntVar(&limit, "limit", 0, "maximum number of hits per shard (0: all)")
 	return cmd
 }
 
-// HoldCmd sends one not-repeatable hold and prints the answer.
+// HoldCmd sends one hold, a request that is not repeatable, and prints the answer.
 func HoldCmd() *cobra.Command {
 	var f clientFlags
 	var shard, item, key string
 	cmd := &cobra.Command{
 		Use:   "hold",
-		Short: "Send one not-repeatable hold (runs at most once per --idempotency-key)",
+		Short: "Send one hold, which is not repeatable (runs at most once per --idempotency-key)",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cl, err := caller.New(f.app, f.key)
 			if err != nil {
--- a/pkg/cli/run.go
+++ b/pkg/cli/run.go
@@ -1,6 +1,6 @@
-// Package cli owns what the two binaries share: running a process until a
-// stop signal and then stopping it gracefully, and the commands that start
-// each kind of process from a settings file.
+// Package cli provides the commands of the two binaries: those that run a
+// process with a settings file until a stop signal and then stop it gracefully,
+// and those of operators and benchmarks.
 package cli
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// stopBudget bounds a graceful stop; requests in flight are bounded by their
-// own deadlines, which are shorter.
-const stopBudget = 40 * time.Second
+// stopTimeout is the maximum duration of a graceful stop. Requests in flight
+// have their own deadlines, which are shorter.
+const stopTimeout = 40 * time.Second
 
-// Stopper is a process part with a graceful stop.
+// Stopper is a component that can be stopped gracefully.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
 
-// RunUntilSignal waits for SIGINT or SIGTERM, or for done to close, and then
+// RunUntilSignal waits for SIGINT or SIGTERM, or until done is closed, and then
 // stops s gracefully.
 func RunUntilSignal(log *logrus.Entry, s Stopper, done <-chan struct{}) error {
 	sig := make(chan os.Signal, 1)
@@ -33,7 +33,7 @@
 		log.WithField("signal", got.String()).Info("stopping")
 	case <-done:
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopBudget)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return s.Stop(ctx)
 }
--- a/pkg/cli/standins.go
+++ b/pkg/cli/standins.go
@@ -14,38 +14,40 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// killedExit is the exit status of a backend server stand-in told to die.
-const killedExit = 137
+// killedExitCode is the exit status of a backend server stand-in that executes
+// a kill action.
+const killedExitCode = 137
 
-// BackendCmd runs a backend server stand-in from its settings file.
+// BackendCmd runs a backend server stand-in with its settings file.
 func BackendCmd() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   "backend",
-		Short: "Run a backend server stand-in (leafs, slots, faults)",
+		Short: "Run a backend server stand-in (simulates leafs, slots and faults)",
 		RunE: func(_ *cobra.Command, _ []string) error {
 			s, err := settings.LoadBackend(path)
 			if err != nil {
 				return err
 			}
 			log := service.Logger("backend", s.Name, s.Zone)
-			b, err := backend.New(s, log, reporter(s.Platform))
+			b, err := backend.New(s, log, newReporter(s.Platform))
 			if err != nil {
 				return err
 			}
-			b.OnKill(func() { os.Exit(killedExit) })
+			b.OnKill(func() { os.Exit(killedExitCode) })
 			b.Start()
 			return RunUntilSignal(log, b, nil)
 		},
 	}
-	// --config names the stand-in's YAML settings (docs/OPERATIONS.md).
+	// --config is the YAML settings file of the stand-in (docs/OPERATIONS.md).
 	cmd.Flags().StringVar(&path, "config", "backend.yaml", "backend server stand-in settings file (YAML)")
 	return cmd
 }
 
-// reporter tells the platform stand-in of a backend server's state, as the
-// platform would learn it from its own machines. Nil without a platform.
-func reporter(addr string) func(wire.Instance) {
+// newReporter returns a function that reports a backend server's state to the
+// platform stand-in, because the stand-in does not observe its servers as the
+// platform does. It returns nil if there is no platform.
+func newReporter(addr string) func(wire.Instance) {
 	if addr == "" {
 		return nil
 	}
@@ -58,7 +60,7 @@
 	}
 }
 
-// PlatformCmd runs the platform stand-in from its settings file.
+// PlatformCmd runs the platform stand-in with its settings file.
 func PlatformCmd() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
@@ -79,7 +81,7 @@
 			return RunUntilSignal(log, p, nil)
 		},
 	}
-	// --config names the stand-in's YAML settings (docs/OPERATIONS.md).
+	// --config is the YAML settings file of the stand-in (docs/OPERATIONS.md).
 	cmd.Flags().StringVar(&path, "config", "platform.yaml", "platform stand-in settings file (YAML)")
 	return cmd
 }
--- a/pkg/cli/version.go
+++ b/pkg/cli/version.go
@@ -2,8 +2,8 @@
 
 import "runtime/debug"
 
-// Version is the module version and revision that the binary was built from, as
-// the Go toolchain recorded them.
+// Version returns the module version and the revision from which the binary was
+// built, as recorded by the Go toolchain.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
