--- a/cmd/yoke/main.go
+++ b/cmd/yoke/main.go
@@ -1,8 +1,8 @@
 // Command yoke runs an indigoyoke entry instance.
 //
-//	yoke serve --config entry.yaml   an installation of the project's own
-//	yoke node                        on the users' platform
-//	yoke check-config FILE
+//	yoke serve --config entry.yaml   run in an installation of the project itself
+//	yoke node                        run on the users' platform
+//	yoke check-config FILE           check a settings file of yoke node
 package main
 
 import (
@@ -29,7 +29,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve callers: authenticate, fan out to every shard, answer with coverage",
+		Short: "Serve callers: authenticate them, fan out to every shard, answer with the coverage",
 		RunE: func(_ *cobra.Command, _ []string) error {
 			s, err := settings.LoadEntry(path)
 			if err != nil {
@@ -44,7 +44,7 @@
 			return cli.RunUntilSignal(log, e, nil)
 		},
 	}
-	// --config names the entry instance's YAML settings (docs/OPERATIONS.md).
+	// --config is the YAML settings file of the entry instance (docs/OPERATIONS.md).
 	cmd.Flags().StringVar(&path, "config", "entry.yaml", "entry instance settings file (YAML)")
 	return cmd
 }
--- a/cmd/yokectl/main.go
+++ b/cmd/yokectl/main.go
@@ -1,7 +1,7 @@
-// Command yokectl is the operator and bench tool of indigoyoke: it submits
-// configuration patches, dumps any process's state, sends queries, runs the
-// backend server and platform stand-ins, writes the demo layout and drives
-// load.
+// Command yokectl is the operator and benchmark tool of indigoyoke. It submits
+// configuration patches, prints the state of any process, explains a request
+// from the logs, sends queries and load, runs the backend server and platform
+// stand-ins, and writes the settings of the demo layout.
 package main
 
 import (
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "yokectl", Short: "indigoyoke operator and bench tool", SilenceUsage: true, Version: cli.Version()}
+	root := &cobra.Command{Use: "yokectl", Short: "indigoyoke operator and benchmark tool", SilenceUsage: true, Version: cli.Version()}
 	root.AddCommand(
 		cli.BackendCmd(),
 		cli.PlatformCmd(),
