--- a/pkg/oplog/oplog.go
+++ b/pkg/oplog/oplog.go
@@ -20,7 +20,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Fields are the inputs and the outcome of a decision.
+// Fields holds the inputs and the outcome of a decision, as fields of the line.
 type Fields = logrus.Fields
 
 // Options limit the volume of the log.
--- a/pkg/settings/node.go
+++ b/pkg/settings/node.go
@@ -26,9 +26,10 @@
 type NodeListen struct {
 	Callers   string `yaml:"callers"`
 	Readiness string `yaml:"readiness"`
-	// Control serves the state dump and the metrics; "" disables it.
+	// Control is the address of the state dump and the metrics; "" disables it.
 	Control string `yaml:"control"`
-	// Metrics also serves the metrics, on a port that does not change; "" disables it.
+	// Metrics is a second address of the metrics, with a port that does not change; "" disables
+	// it.
 	Metrics string `yaml:"metrics"`
 }
 
@@ -43,8 +44,8 @@
 	// FreshnessIntervalMs is the maximum age of the last confirmed state before the store is
 	// asked again.
 	FreshnessIntervalMs int `yaml:"proof_ms"`
-	// FirstTimeoutMs bounds a call beyond the wait it asks for, and RetryTimeoutMs a call that
-	// follows a failed one.
+	// FirstTimeoutMs is the timeout of a call, counted after the wait that the call requests.
+	// RetryTimeoutMs is that of a call that follows a failed one.
 	FirstTimeoutMs int `yaml:"first_timeout_ms"`
 	RetryTimeoutMs int `yaml:"call_timeout_ms"`
 	// MinBackoffMs and MaxBackoffMs bound the growing delay between failed calls.
@@ -105,7 +106,8 @@
 // NodeLeafs limits connections and traffic to leafs.
 type NodeLeafs struct {
 	ConnsPerLeaf int `yaml:"conns_per_leaf"`
-	// Instances is the number of entry instances that share a leaf's connections.
+	// Instances is the number of entry instances that share a leaf's connections and, if they
+	// work without peers, the request rate of a cold leaf.
 	Instances int `yaml:"instances"`
 	// OtherZoneFactor multiplies the cost of a leaf in another zone.
 	OtherZoneFactor float64 `yaml:"other_zone_factor"`
@@ -152,7 +154,8 @@
 	MaxConnections int `yaml:"max_connections"`
 	// MaxPeerConnections is the maximum number of open connections of peers.
 	MaxPeerConnections int `yaml:"max_peer_connections"`
-	// MaxQuarantineMs is the maximum time for which a request that crashes leafs is sent to none.
+	// MaxQuarantineMs is the maximum time for which a request that crashes leafs is quarantined,
+	// that is, sent to no leaf.
 	MaxQuarantineMs int `yaml:"quarantine_most_ms"`
 }
 
--- a/pkg/settings/node_test.go
+++ b/pkg/settings/node_test.go
@@ -43,8 +43,9 @@
 }
 
 // Guards against a watch that, together with the timeout of its call, takes longer than the time
-// within which an instance must be up to date again after a disturbance of the store.
-func TestWatchWaitPlusTimeoutStaysWithinCatchUpTime(t *testing.T) {
+// within which an instance must be up to date again after a disturbance of the store. A shorter
+// declared time must shorten the wait, down to its minimum.
+func TestWatchWaitIsShortenedByDeclaredCatchUpTime(t *testing.T) {
 	for extra, want := range map[string]time.Duration{
 		"":                               2400 * time.Millisecond,
 		"declared: {contact_ms: 5000}\n": 2400 * time.Millisecond,
--- a/pkg/settings/nodedefaults.go
+++ b/pkg/settings/nodedefaults.go
@@ -4,18 +4,18 @@
 func NodeDefaults() Node {
 	return Node{
 		Store: NodeStore{
-			// A store that drops its history notifies no watch that is waiting until its wait
-			// is over. Together with the call timeout, the wait stays below the 4 s within
-			// which an instance must be up to date again; a shorter declared catch-up time
-			// shortens it further.
+			// When the store drops its history, watches that are waiting are not notified and
+			// return only when their wait is over. The wait and the call timeout together stay
+			// below the 4 s within which an instance must be up to date again; a shorter
+			// declared catch-up time shortens the wait further.
 			WatchWaitMs: 2400,
 			// One call returns all changes of this time. The declared times within which a
 			// change must take effect shorten it further.
 			CoalesceMs: 2000,
 			// The declared times shorten it further.
 			FreshnessIntervalMs: 1000,
-			// The first timeout is twice the response time of a slow store; the timeout is
-			// longer once a call has failed.
+			// The first timeout is at least twice the response time of a slow store; the
+			// timeout is longer once a call has failed.
 			FirstTimeoutMs: 750,
 			RetryTimeoutMs: 1500,
 			MinBackoffMs:   150,
--- a/pkg/settings/nodetimes.go
+++ b/pkg/settings/nodetimes.go
@@ -7,7 +7,7 @@
 )
 
 // WatchWait is how long a watch of the store waits for a change. Together with the timeout of a
-// call it stays within the declared catch-up time.
+// call it stays within the declared catch-up time, unless that leaves less than 500 ms to wait.
 func (n *Node) WatchWait() time.Duration {
 	const minWaitMs = 500
 	budget := max(n.Declared.CatchUpMs-n.Store.RetryTimeoutMs, minWaitMs)
@@ -31,9 +31,9 @@
 	// freshnessFraction limits both the interval after which the store is asked again and the
 	// coalescing delay.
 	freshnessFraction = 1.0 / 3
-	// freshnessSlackFraction, of the freshness interval, is how much later a response of the
-	// store may arrive; jitterFraction, of the same, is how far the calls of the instances are
-	// spread.
+	// Both are fractions of the freshness interval: freshnessSlackFraction is how much later a
+	// response of the store may arrive, and jitterFraction is the range over which the calls of
+	// the instances are spread.
 	freshnessSlackFraction = 0.45
 	jitterFraction         = 0.2
 	// timeoutFraction limits the duration of a call, minBackoffFraction and maxBackoffFraction
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -53,7 +53,7 @@
 	// HedgeMinMs is the minimum delay before a hedged request.
 	HedgeMinMs int `yaml:"hedge_min_ms"`
 	// MaxQuarantineMs is the maximum time for which a request that crashes
-	// backend servers is sent to none.
+	// backend servers is quarantined, that is, sent to no server.
 	MaxQuarantineMs int `yaml:"quarantine_most_ms"`
 	// RelayListen is the UDP address at which peers ask for the configuration;
 	// "" disables the relay. Peers lists the relay addresses of the peers, and
