--- a/pkg/settings/nodedefaults.go
+++ b/pkg/settings/nodedefaults.go
@@ -1,80 +1,80 @@
 package settings
 
-// NodeDefaults are the settings of fields that a file leaves out.
+// NodeDefaults returns the settings with the default of every field that a file may omit.
 func NodeDefaults() Node {
 	return Node{
 		Store: NodeStore{
-			// A store that drops its history lets waiting watches hear nothing
-			// until their wait is over. With the call timeout this stays
-			// below the 4 s within which an instance must have caught up;
-			// a declared contact time shortens it further.
+			// When the store drops its history, watches that are waiting are not notified and
+			// return only when their wait is over. The wait and the call timeout together stay
+			// below the 4 s within which an instance must be up to date again; a shorter
+			// declared catch-up time shortens the wait further.
 			WatchWaitMs: 2400,
-			// One call for all changes of that time, shortened further by the
-			// declared time for a change to be in force.
+			// One call returns all changes of this time. The declared times within which a
+			// change must take effect shorten it further.
 			CoalesceMs: 2000,
-			// Shortened further by the declared times.
-			ProofMs: 1000,
-			// Twice as long as a slow store takes, and more once a call has failed.
+			// The declared times shorten it further.
+			FreshnessIntervalMs: 1000,
+			// The first timeout is at least twice the response time of a slow store; the
+			// timeout is longer once a call has failed.
 			FirstTimeoutMs: 750,
-			CallTimeoutMs:  1500,
-			RetryFirstMs:   150,
-			RetryMostMs:    1000,
-			// Leafs report every 1.2 s; an outage shorter than that lets no
-			// entry lapse.
-			AwayAfterMs: 1000,
+			RetryTimeoutMs: 1500,
+			MinBackoffMs:   150,
+			MaxBackoffMs:   1000,
+			// Leafs renew their entries every 1.2 s, so no entry expires in a shorter outage.
+			OutageThresholdMs: 1000,
 		},
 		Stop: NodeStop{
-			// The balancer asks each second and takes an instance out after
-			// two misses.
-			LeaveMs:  2500,
-			MarginMs: 500,
+			// The load balancer checks readiness every second and removes an instance after
+			// two failed checks.
+			LameDuckMs:   2500,
+			KillMarginMs: 500,
 		},
-		Second: NodeSecond{
-			Burst:          2,
-			HedgeAtTypical: 2.5,
-			HedgeAtTarget:  0.25,
-			// Small against a leaf's pause and the target latencies.
-			HedgeLeastMs: 15,
+		SecondRequests: NodeSecondRequests{
+			Burst:               2,
+			HedgeTypicalFactor:  2.5,
+			HedgeTargetFraction: 0.25,
+			// Small compared with a leaf's pause and the target latencies.
+			MinHedgeDelayMs: 15,
 		},
-		Answer: NodeAnswer{
-			Partial:      true,
-			MarginMs:     5,
-			UsefulTarget: 1.0,
-			LeastChance:  0.25,
-			// Budgets refill over ten seconds; half of the time leaves the caller
-			// the other half to come again.
-			LateWait:          0.5,
-			HeldChance:        0.87,
-			HeldWait:          0.7,
-			DefaultPatienceMs: 5000,
-			RetryAfterMs:      300,
+		Answers: NodeAnswers{
+			Partial:               true,
+			MarginMs:              5,
+			RequestDeadlineFactor: 1.0,
+			MinAdmitProbability:   0.25,
+			// Budgets refill over ten seconds. Waiting for half of the time leaves the caller
+			// the other half to retry.
+			LateWaitFraction:      0.5,
+			MinReleaseProbability: 0.87,
+			HeldWaitFraction:      0.7,
+			DefaultTimeoutMs:      5000,
+			RetryAfterMs:          300,
 		},
 		Leafs: NodeLeafs{
 			ConnsPerLeaf: 8,
 			Instances:    10,
-			// A leaf in another zone must be faster by this much: bytes
-			// between zones are billed and take a round trip longer.
+			// A leaf in another zone must be faster by this factor, because traffic between
+			// zones is billed and takes an additional round trip.
 			OtherZoneFactor: 1.6,
 			DialTimeoutMs:   250,
-			IdleMs:          30000,
+			IdleTimeoutMs:   30000,
 			LapseGraceMs:    2300,
 			MaxReplyBytes:   4 << 20,
 		},
 		Peers: NodePeers{
 			Batches: true, Gather: true, Feed: true,
-			// A join, a connection and a page of the store's entries; callers of
-			// instances that start together wait as long.
+			// Enough to join, to open a connection and to receive a page of the store's
+			// entries. Callers wait as long when instances start at the same time.
 			StartWaitMs: 150,
-			// By then the members of a zone know each other.
+			// By then the members of a zone have discovered each other.
 			FirstStartWaitMs: 2000,
 		},
-		Machine: NodeMachine{Processor: 1},
-		// Of 4,100 descriptors some hundred are left for files, leafs, the store and
+		Machine: NodeMachine{CPUs: 1},
+		// Of 4,100 file descriptors, several hundred remain for files, leafs, the store and
 		// operators.
-		Limits: NodeLimits{MaxInFlight: 400, Workers: 4096, MaxConnections: 3000, MaxPeerConnections: 400, QuarantineMostMs: defaultQuarantineMost},
-		Log:    NodeLog{Level: "debug", LinesPerSecond: 5, Burst: 20, Buffer: 512},
-		Tick:   50,
-		Reload: NodeReload{EveryMs: 2000},
-		Bounds: NodeDeclared{ContactMs: 4000, GraceMs: 6000, ApplyMs: 3000, DrainMs: 3000, SecondRatio: 0.2, SecondWindowMs: 10000, ColdFactor: 1},
+		Limits:   NodeLimits{MaxInFlight: 400, Workers: 4096, MaxConnections: 3000, MaxPeerConnections: 400, MaxQuarantineMs: defaultMaxQuarantineMs},
+		Log:      NodeLog{Level: "debug", LinesPerSecond: 5, Burst: 20, Buffer: 512},
+		TickMs:   50,
+		Reload:   NodeReload{IntervalMs: 2000},
+		Declared: NodeDeclared{CatchUpMs: 4000, TerminationGraceMs: 6000, ApplyMs: 3000, DrainMs: 3000, SecondRequestRatio: 0.2, SecondRequestWindowMs: 10000, ColdFactor: 1},
 	}
 }
