--- a/pkg/cli/bench.go
+++ b/pkg/cli/bench.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return BenchRun{}, err
 	}
-	req := wire.SearchRequest{Deployment: demo.Deployment(m.user), Index: m.index, Text: m.text, TimeoutMs: m.timeoutMs}
+	req := wire.SearchRequest{Deployment: demo.DeploymentName(m.user), Index: m.index, Text: m.text, TimeoutMs: m.timeoutMs}
 	addr := c.Entries[c.EntryNames()[0]].Addr()
 	RunLoad(cl, addr, req, requests/10, concurrency, qps)
 	before := received(c)
--- a/pkg/cli/demo.go
+++ b/pkg/cli/demo.go
@@ -23,7 +23,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			port := basePort
 			next := func() string { port++; return "127.0.0.1:" + strconv.Itoa(port-1) }
-			l, err := demo.Build(demo.User(user), shards, next)
+			l, err := demo.BuildLayout(demo.User(user), shards, next)
 			if err != nil {
 				return err
 			}
--- a/pkg/demo/bench_test.go
+++ b/pkg/demo/bench_test.go
@@ -15,7 +15,7 @@
 // width, with callers, entry instance and backend servers in one process.
 func BenchmarkWideSearch(b *testing.B) {
 	const width = 70
-	c, err := StartWideCluster(Lipovec, width, io.Discard, func(l *Layout) {
+	c, err := StartClusterWithShards(Lipovec, width, io.Discard, func(l *Layout) {
 		for i := range l.Backends {
 			l.Backends[i].Slots = 4 * width
 		}
@@ -24,7 +24,7 @@
 	defer c.Stop()
 	cl, err := caller.New("cad-viewer", "cad-viewer-key")
 	require.NoError(b, err)
-	q := wire.SearchRequest{Deployment: Deployment(Lipovec), Index: "viewer-api", Text: "bolt", TimeoutMs: 5000}
+	q := wire.SearchRequest{Deployment: DeploymentName(Lipovec), Index: "viewer-api", Text: "bolt", TimeoutMs: 5000}
 	addr := c.Entries[c.EntryNames()[0]].Addr()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/demo/cluster.go
+++ b/pkg/demo/cluster.go
@@ -41,13 +41,13 @@
 // and entry instances are pointed at the platform's. Each tweak may change
 // the layout's settings before anything starts.
 func StartCluster(u User, logs io.Writer, tweaks ...func(*Layout)) (*Cluster, error) {
-	return StartWideCluster(u, 0, logs, tweaks...)
+	return StartClusterWithShards(u, 0, logs, tweaks...)
 }
 
-// StartWideCluster is StartCluster with wide shards in the user's first
+// StartClusterWithShards is StartCluster with wide shards in the user's first
 // index (0: the default).
-func StartWideCluster(u User, wide int, logs io.Writer, tweaks ...func(*Layout)) (*Cluster, error) {
-	l, err := Build(u, wide, loopbackAny)
+func StartClusterWithShards(u User, wide int, logs io.Writer, tweaks ...func(*Layout)) (*Cluster, error) {
+	l, err := BuildLayout(u, wide, loopbackAny)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/demo/config_test.go
+++ b/pkg/demo/config_test.go
@@ -25,7 +25,7 @@
 // one, older ones included.
 func TestConfigNeverRevertsWhilePlatformStale(t *testing.T) {
 	s := newSession(t, Lipovec, func(l *Layout) { l.Platform.WatchTimeoutMs = 100 })
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "bracket", TimeoutMs: 300}
 	s.patch(topology.Patch{BaseVersion: 1, Ops: []topology.Op{{Kind: topology.OpSetSnapshot, Deployment: dep, Index: "viewer-api", Snapshot: 2}}})
 	s.note("configuration service turns stale and serves v1")
@@ -48,7 +48,7 @@
 // are not one step.
 func TestRacingPatchesOneAccepted(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	results := make(chan wire.PatchResult, 2)
 	for _, snap := range []int64{2, 3} {
 		go func() {
@@ -95,7 +95,7 @@
 // watch, and a watch that gives up instead of backing off.
 func TestPlatformDownServesLastConfig(t *testing.T) {
 	s := newSession(t, Lipovec, func(l *Layout) { l.Platform.WatchTimeoutMs = 100 })
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "flange", TimeoutMs: 300}
 	s.patch(topology.Patch{BaseVersion: 1, Ops: []topology.Op{{Kind: topology.OpSetSnapshot, Deployment: dep, Index: "viewer-api", Snapshot: 2}}})
 	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeDown})
--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -89,14 +89,14 @@
 	demoRelaySecret = "demo-only-relay-secret"
 )
 
-// Deployment is the brand deployment name of user u.
-func Deployment(u User) string { return specs[u].deployment }
+// DeploymentName is the brand deployment name of user u.
+func DeploymentName(u User) string { return specs[u].deployment }
 
-// Build lays out user u's installation; addr hands out one listen address
+// BuildLayout lays out user u's installation; addr hands out one listen address
 // per call, platform first, then backend servers, then entry instances.
 // wide, when not 0, is the number of shards of the user's first index in
 // place of the default, for measuring how cost grows with the fan-out.
-func Build(u User, wide int, addr func() string) (*Layout, error) {
+func BuildLayout(u User, wide int, addr func() string) (*Layout, error) {
 	spec, ok := specs[u]
 	if !ok {
 		return nil, fmt.Errorf("unknown user %q", u)
--- a/pkg/demo/evacuate_test.go
+++ b/pkg/demo/evacuate_test.go
@@ -26,7 +26,7 @@
 func TestEvacuatedZoneOfAnInstallationGetsNothing(t *testing.T) {
 	s := newSession(t, Lipovec)
 	zone, entry := s.c.Layout.Backends[0].Zone, s.c.EntryNames()[0]
-	q := wire.SearchRequest{Deployment: Deployment(Lipovec), Index: "viewer-api", Text: "flange", TimeoutMs: 300}
+	q := wire.SearchRequest{Deployment: DeploymentName(Lipovec), Index: "viewer-api", Text: "flange", TimeoutMs: 300}
 	search := func() {
 		for range 10 {
 			require.Equal(t, errcode.OK, s.quietSearch(entry, q).Code)
--- a/pkg/demo/faults_test.go
+++ b/pkg/demo/faults_test.go
@@ -32,7 +32,7 @@
 // request: each must learn it from the replies to its first search.
 func TestLeavingBackendGetsNoNewWork(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "bolt", TimeoutMs: 2000}
 	leaving := s.c.Backends["lj-a-unit-1"]
 	s.control("lj-a-unit-1", backend.Control{Action: backend.ActDrain})
@@ -77,7 +77,7 @@
 // refused connection is a transport error, not a reply.
 func TestKilledBackendCoverageFromOtherZone(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "shaft", TimeoutMs: 300}
 	s.c.Backends["lj-a-unit-1"].Kill()
 	s.note("lj-a-unit-1 killed")
@@ -112,7 +112,7 @@
 			l.Backends[i].Slots = 64
 		}
 	})
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "bracket", TimeoutMs: 1000}
 	s.control("lj-a-unit-2", backend.Control{Action: backend.ActSlow, DelayMs: 120})
 	s.control("lj-b-unit-2", backend.Control{Action: backend.ActSlow, DelayMs: 120})
@@ -172,7 +172,7 @@
 // come from the pinned snapshot.
 func TestOneSnapshotPerAnswer(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "PN", TimeoutMs: 300}
 	s.control("lj-a-unit-1", backend.Control{Action: backend.ActServeNewest})
 	mixed := 0
@@ -209,7 +209,7 @@
 // it came on instead of by what it echoes.
 func TestEachCallerGetsOwnAnswer(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	s.control("lj-a-unit-2", backend.Control{Action: backend.ActCrossReplies})
 	foreign := 0
 	var mu sync.Mutex
@@ -258,14 +258,14 @@
 // the cut heals.
 func TestZoneCutOffServesWhatItCan(t *testing.T) {
 	s := newSession(t, Lipovec, func(l *Layout) { l.Platform.WatchTimeoutMs = 200 })
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "bolt", TimeoutMs: 150}
 	s.patch(topology.Patch{BaseVersion: 1, Ops: []topology.Op{{Kind: topology.OpSetLeafs, Deployment: dep, Index: "viewer-api", Shard: "s01", Leafs: []string{"lj-a-unit-1"}}}})
 	cut := []string{"lj-b"}
 	for _, name := range []string{"lj-a-unit-1", "lj-a-unit-2"} {
-		s.control(name, backend.Control{Action: backend.ActCut, Zones: cut})
+		s.control(name, backend.Control{Action: backend.ActPartition, Zones: cut})
 	}
-	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, CutZones: cut})
+	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, PartitionedZones: cut})
 	s.c.ConnectPeers(cut...)
 	s.note("lj-b cut off from lj-a and from the platform")
 	a := s.search("lj-b-entry-1", "cad-viewer", "cad-viewer-key", q)
--- a/pkg/demo/holds_test.go
+++ b/pkg/demo/holds_test.go
@@ -23,7 +23,7 @@
 // record of idempotency keys, so the second replica ran it again.
 func TestHoldRunsOnceAcrossEntryInstances(t *testing.T) {
 	s := newSession(t, Lakeshore)
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	h := wire.HoldRequest{Deployment: dep, Index: "shelter-console", Shard: "s03", Item: "s03-room-0", IdempotencyKey: "van12-dusk-1", TimeoutMs: 300}
 	s.note("the van holds a bed; its retry goes through the other zone")
 	first := s.hold("detroit-hall-entry-1", "outreach-van", "outreach-van-key", h)
@@ -48,7 +48,7 @@
 // entry has already answered for it.
 func TestFrozenPrimaryWokenLateDoesNotRunHold(t *testing.T) {
 	s := newSession(t, Lakeshore)
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	h := wire.HoldRequest{Deployment: dep, Index: "shelter-console", Shard: "s03", Item: "s03-room-1", IdempotencyKey: "van3-night-2", TimeoutMs: 100}
 	s.control("detroit-hall-unit-1", backend.Control{Action: backend.ActFreeze})
 	s.hold("detroit-hall-entry-1", "outreach-van", "outreach-van-key", h)
--- a/pkg/demo/load_test.go
+++ b/pkg/demo/load_test.go
@@ -33,7 +33,7 @@
 				l.Entries[i].Policy = policy
 			}
 		})
-		q := wire.SearchRequest{Deployment: Deployment(Lipovec), Index: "viewer-api", Text: "bolt", TimeoutMs: 150}
+		q := wire.SearchRequest{Deployment: DeploymentName(Lipovec), Index: "viewer-api", Text: "bolt", TimeoutMs: 150}
 		for i := 0; i < 20; i++ {
 			if a := s.quietSearch("lj-a-entry-1", q); len(a.Covered) == 4 {
 				whole[policy]++
@@ -59,7 +59,7 @@
 // Cause it guards against: a refusal given after the work has begun.
 func TestShedHoldsDidNotRun(t *testing.T) {
 	s := newSession(t, Lakeshore, func(l *Layout) { l.Backends[0].Slots = 1 })
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	s.control("detroit-hall-unit-1", backend.Control{Action: backend.ActSlow, DelayMs: 60})
 	const callers = 12
 	hold := func(i int) wire.Answer {
@@ -119,7 +119,7 @@
 	for _, b := range s.c.Layout.Backends {
 		s.control(b.Name, backend.Control{Action: backend.ActSlow, DelayMs: 20})
 	}
-	q := wire.SearchRequest{Deployment: Deployment(Lipovec), Index: "viewer-api", Text: "bolt", TimeoutMs: 5000}
+	q := wire.SearchRequest{Deployment: DeploymentName(Lipovec), Index: "viewer-api", Text: "bolt", TimeoutMs: 5000}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	covered := 0
--- a/pkg/demo/move_test.go
+++ b/pkg/demo/move_test.go
@@ -26,7 +26,7 @@
 // both primaries take the shard's holds for a moment.
 func TestMovedShardRunsHoldsOnce(t *testing.T) {
 	s := newSession(t, Lakeshore, func(l *Layout) { l.Platform.WatchTimeoutMs = 200 })
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	const before, after = "cleveland-hall-entry-1", "detroit-hall-entry-1"
 	q := wire.SearchRequest{Deployment: dep, Index: "shelter-console", Text: "room-0", Limit: 1, TimeoutMs: 300}
 	hold := func(via, key string) wire.Answer {
@@ -35,7 +35,7 @@
 		})
 	}
 	hold(after, "van12-dusk-1")
-	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, CutZones: []string{"cleveland-hall"}})
+	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, PartitionedZones: []string{"cleveland-hall"}})
 	s.c.ConnectPeers("cleveland-hall")
 	time.Sleep(300 * time.Millisecond)
 	s.note("cleveland-hall cut off from the platform and from detroit-hall's entry instances; s03 moves to detroit-hall-unit-2")
--- a/pkg/demo/policy_test.go
+++ b/pkg/demo/policy_test.go
@@ -27,7 +27,7 @@
 // failure of the backend server, and two failures mark it down for a second.
 func TestImpatientCallerTakesNoBackendOut(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	for _, name := range []string{"lj-a-unit-1", "lj-a-unit-2", "lj-b-unit-1", "lj-b-unit-2"} {
 		s.control(name, backend.Control{Action: backend.ActSlow, DelayMs: 30})
 	}
@@ -55,7 +55,7 @@
 // the leafs.
 func TestCallerLeavesLeafsStop(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	var before uint64
 	for _, name := range []string{"lj-a-unit-1", "lj-a-unit-2", "lj-b-unit-1", "lj-b-unit-2"} {
 		s.control(name, backend.Control{Action: backend.ActSlow, DelayMs: 400})
--- a/pkg/demo/process_test.go
+++ b/pkg/demo/process_test.go
@@ -116,7 +116,7 @@
 // from when it is read; and the new configuration is one watch away.
 func TestFrozenEntryWokenLate(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "PN", Limit: 1, TimeoutMs: 300}
 	h := wire.HoldRequest{Deployment: dep, Index: "viewer-api", Shard: "s01", Item: "PN-s01-100", IdempotencyKey: "order-frozen-1", TimeoutMs: 300}
 	p := s.startEntryProcess(settings.Entry{Name: "lj-a-entry-9", Zone: "lj-a"})
--- a/pkg/demo/quarantine_test.go
+++ b/pkg/demo/quarantine_test.go
@@ -37,7 +37,7 @@
 // arm lets a backend server end under deadly requests.
 func (m *mortals) arm(name string) {
 	b := m.c.Backends[name]
-	require.NoError(m.t, b.Apply(backend.Control{Action: backend.ActEndOn, Text: deadly}))
+	require.NoError(m.t, b.Apply(backend.Control{Action: backend.ActCrashOn, Text: deadly}))
 	b.OnKill(func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 
 // revive waits until no server is ended and every entry instance covers all shards.
 func (m *mortals) revive() {
-	sound := wire.SearchRequest{Deployment: Deployment(Lakeshore), Index: "shelter-console", Text: "open", TimeoutMs: 300}
+	sound := wire.SearchRequest{Deployment: DeploymentName(Lakeshore), Index: "shelter-console", Text: "open", TimeoutMs: 300}
 	for _, name := range m.c.EntryNames() {
 		require.Eventually(m.t, func() bool {
 			m.restart()
@@ -81,7 +81,7 @@
 // an ID that is made anew for each attempt, and told the others nothing: 11 of 12 searches
 // ended backend servers, 34 in all.
 func TestRequestThatEndsBackendServersIsHeldBack(t *testing.T) {
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	for name, ask := range map[string]func(m *mortals, entry string){
 		"search": func(m *mortals, entry string) {
 			m.searchAs("outreach-van", "outreach-van-key", entry, wire.SearchRequest{Deployment: dep, Index: "shelter-console", Text: deadly, TimeoutMs: 300})
--- a/pkg/demo/relay_test.go
+++ b/pkg/demo/relay_test.go
@@ -23,7 +23,7 @@
 // be had from the service alone though every other entry instance has it.
 func TestEntryStartsWhilePlatformDown(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	s.patch(topology.Patch{BaseVersion: 1, Ops: []topology.Op{{Kind: topology.OpSetSnapshot, Deployment: dep, Index: "viewer-api", Snapshot: 2}}})
 	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeDown})
 	s.note("configuration service down; lj-b-entry-3 starts")
@@ -49,8 +49,8 @@
 			l.Entries[i].RelayIntervalMs = 200
 		}
 	})
-	dep := Deployment(Lipovec)
-	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, CutZones: []string{"lj-b"}})
+	dep := DeploymentName(Lipovec)
+	s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, PartitionedZones: []string{"lj-b"}})
 	time.Sleep(300 * time.Millisecond)
 	s.note("lj-b cut off from the configuration service, not from lj-a")
 	s.patch(topology.Patch{BaseVersion: 1, Ops: []topology.Op{{Kind: topology.OpSetSnapshot, Deployment: dep, Index: "viewer-api", Snapshot: 2}}})
--- a/pkg/demo/session_test.go
+++ b/pkg/demo/session_test.go
@@ -121,7 +121,7 @@
 // snapshot put in force by a patch.
 func TestWholePathLipovec(t *testing.T) {
 	s := newSession(t, Lipovec)
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	q := wire.SearchRequest{Deployment: dep, Index: "viewer-api", Text: "bracket", TimeoutMs: 300}
 	s.note("part-number suggestions across all four shards")
 	s.search("lj-a-entry-1", "cad-viewer", "cad-viewer-key", q)
@@ -151,7 +151,7 @@
 // and a hold without an idempotency key refused unrun.
 func TestWholePathLakeshore(t *testing.T) {
 	s := newSession(t, Lakeshore)
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	q := wire.SearchRequest{Deployment: dep, Index: "shelter-console", Text: "open", Limit: 2, TimeoutMs: 300}
 	s.note("open beds across all shelter shards")
 	s.search("detroit-hall-entry-1", "outreach-van", "outreach-van-key", q)
--- a/pkg/demo/stop_test.go
+++ b/pkg/demo/stop_test.go
@@ -26,7 +26,7 @@
 // to a server that has said it is leaving.
 func TestBackendStopCutsNoRequest(t *testing.T) {
 	s := newSession(t, Lakeshore, func(l *Layout) { l.Backends[0].Slots = 16 })
-	dep := Deployment(Lakeshore)
+	dep := DeploymentName(Lakeshore)
 	s.control("detroit-hall-unit-1", backend.Control{Action: backend.ActSlow, DelayMs: 80})
 	stop := make(chan struct{})
 	var mu sync.Mutex
@@ -99,7 +99,7 @@
 	s.c.Backends["detroit-hall-unit-1"].Kill()
 	s.note("detroit-hall-unit-1, s03's primary, killed")
 	a := s.hold("detroit-hall-entry-1", "outreach-van", "outreach-van-key", wire.HoldRequest{
-		Deployment: Deployment(Lakeshore), Index: "shelter-console", Shard: "s03", Item: "s03-room-0", IdempotencyKey: "van1-dusk-1", TimeoutMs: 300,
+		Deployment: DeploymentName(Lakeshore), Index: "shelter-console", Shard: "s03", Item: "s03-room-0", IdempotencyKey: "van1-dusk-1", TimeoutMs: 300,
 	})
 	require.True(t, a.Code.NotRun(), "answered %s", a.Code)
 	require.Positive(t, a.RetryAfterMs)
--- a/pkg/demo/together_test.go
+++ b/pkg/demo/together_test.go
@@ -101,7 +101,7 @@
 // Cause: rules that hold under each fault alone and not under two.
 func TestFaultsTogether(t *testing.T) {
 	s := newSession(t, Lipovec, func(l *Layout) { l.Platform.WatchTimeoutMs = 200 })
-	dep := Deployment(Lipovec)
+	dep := DeploymentName(Lipovec)
 	w := &witness{broken: map[string]int{}, notRun: map[string]bool{}, granted: map[string]bool{}}
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -146,10 +146,10 @@
 	})
 	step("lj-a-unit-2 woken; lj-b cut off from lj-a and from the service", func() {
 		act("lj-a-unit-2", backend.Control{Action: backend.ActThaw})
-		s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, CutZones: []string{"lj-b"}})
+		s.c.Platform.SetMode(configservice.Control{Mode: configservice.ModeNormal, PartitionedZones: []string{"lj-b"}})
 		s.c.ConnectPeers("lj-b")
-		act("lj-a-unit-1", backend.Control{Action: backend.ActCut, Zones: []string{"lj-b"}})
-		act("lj-a-unit-2", backend.Control{Action: backend.ActCut, Zones: []string{"lj-b"}})
+		act("lj-a-unit-1", backend.Control{Action: backend.ActPartition, Zones: []string{"lj-b"}})
+		act("lj-a-unit-2", backend.Control{Action: backend.ActPartition, Zones: []string{"lj-b"}})
 	})
 	step("s01 moves from lj-a-unit-1 to lj-a-unit-2", func() {
 		act("lj-a-unit-1", backend.Control{Action: backend.ActHandOff, Index: "viewer-api", Shards: []string{"s01"}, To: s.c.Backends["lj-a-unit-2"].Addr()})
@@ -178,7 +178,7 @@
 	s.settleHolds(w)
 	ran := map[string]int{}
 	for _, b := range s.c.Backends {
-		for _, key := range b.RanHolds() {
+		for _, key := range b.ExecutedHoldKeys() {
 			ran[key]++
 		}
 	}
@@ -224,7 +224,7 @@
 
 // searchUntil searches through the entry instances in turn.
 func (s *session) searchUntil(stop chan struct{}, w *witness, n int, text string) {
-	q := wire.SearchRequest{Deployment: Deployment(Lipovec), Index: "viewer-api", Text: text, TimeoutMs: 120}
+	q := wire.SearchRequest{Deployment: DeploymentName(Lipovec), Index: "viewer-api", Text: text, TimeoutMs: 120}
 	for i := n; s.running(stop); i++ {
 		w.search(s.quietSearch(s.c.EntryNames()[i%4], q), text)
 		time.Sleep(5 * time.Millisecond)
@@ -249,7 +249,7 @@
 
 func (s *session) holdByKey(key string, shard, via int) wire.Answer {
 	return s.quietHoldAs("bom-panel", "bom-panel-key", s.c.EntryNames()[via%4], wire.HoldRequest{
-		Deployment: Deployment(Lipovec), Index: "viewer-api", Shard: fmt.Sprintf("s%02d", shard+1),
+		Deployment: DeploymentName(Lipovec), Index: "viewer-api", Shard: fmt.Sprintf("s%02d", shard+1),
 		Item: fmt.Sprintf("PN-s%02d-100", shard+1), IdempotencyKey: key, TimeoutMs: 120,
 	})
 }
--- a/pkg/merge/merge_test.go
+++ b/pkg/merge/merge_test.go
@@ -39,7 +39,7 @@
 func FuzzGreatest(f *testing.F) {
 	inputs := rand.New(rand.NewPCG(5, 6))
 	f.Add([]byte("abcdefgh"), uint64(3), 4)
-	for range mutate.Each {
+	for range mutate.MutationsPerSeed {
 		f.Add(mutate.Bytes(inputs, []byte("abcdefghabcdabcdefgh")), inputs.Uint64(), inputs.IntN(70)-2)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, seed uint64, k int) {
--- a/pkg/mutate/mutate.go
+++ b/pkg/mutate/mutate.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Each is how many mutations Add makes of each seed.
-const Each = 3000
+// MutationsPerSeed is how many mutations Add makes of each seed.
+const MutationsPerSeed = 3000
 
-// Add adds seeds, and deterministic mutations of them, to a fuzz target's inputs.
-func Add(f *testing.F, seeds ...[]byte) {
+// AddSeeds adds seeds, and deterministic mutations of them, to a fuzz target's inputs.
+func AddSeeds(f *testing.F, seeds ...[]byte) {
 	f.Helper()
 	for i, seed := range seeds {
 		f.Add(seed)
 		rng := rand.New(rand.NewPCG(uint64(i), uint64(len(seed))))
-		for range Each {
+		for range MutationsPerSeed {
 			f.Add(Bytes(rng, seed))
 		}
 	}
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -416,7 +416,7 @@
 		_ = writeFrame(bufio.NewWriter(&buffer), frame.kind, frame.v)
 		seeds = append(seeds, buffer.Bytes())
 	}
-	mutate.Add(f, seeds...)
+	mutate.AddSeeds(f, seeds...)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, content, err := readFrame(bufio.NewReader(bytes.NewReader(raw)))
 		if err != nil {
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -122,7 +122,7 @@
 // FuzzReadReply checks that no bytes from a peer crash the reader.
 func FuzzReadReply(f *testing.F) {
 	f.Add([]byte{})
-	mutate.Add(f,
+	mutate.AddSeeds(f,
 		[]byte(`{"version":3}`),
 		[]byte(`{"version":3,"requests":[{"key":[1,2],"ends":[7],"left_ms":9}]}`),
 		[]byte(`{"version":3,"config_gz":"H4sIAAAAAAAA"}`),
--- a/pkg/standin/backend/control.go
+++ b/pkg/standin/backend/control.go
@@ -33,18 +33,18 @@
 	// ActCrossReplies makes the server answer each request with the reply
 	// it made for the previous one, as a connection mix-up would.
 	ActCrossReplies Action = "cross_replies"
-	// ActCut drops every leaf request from the listed availability zones
+	// ActPartition drops every leaf request from the listed availability zones
 	// without a reply, as a network partition between zones does.
-	ActCut Action = "cut"
+	ActPartition Action = "cut"
 	// ActLoseReplies runs every request but loses the replies of Percent of
 	// them, as a connection lost on the way back does.
 	ActLoseReplies Action = "lose_replies"
-	// ActEndOn lets the server end, as a crashed process, when it begins to run a request
+	// ActCrashOn lets the server end, as a crashed process, when it begins to run a request
 	// for Text: a search for it, or a hold of that item.
 	// ActHandOff moves the shard named first in Shards, of index Index, to
 	// the backend server at To with its hold records; that server gets it
 	// by ActAdopt.
-	ActEndOn   Action = "end_on"
+	ActCrashOn Action = "end_on"
 	ActHandOff Action = "hand_off"
 	ActAdopt   Action = "adopt"
 )
@@ -69,16 +69,16 @@
 
 // Faults are the faults in force.
 type Faults struct {
-	DelayMs    int      `json:"delay_ms,omitempty"`
-	SlowPct    int      `json:"slow_percent,omitempty"`
-	SlowShards []string `json:"slow_shards,omitempty"`
-	Refuse     bool     `json:"refuse,omitempty"`
-	Frozen     bool     `json:"frozen,omitempty"`
-	Newest     bool     `json:"serve_newest,omitempty"`
-	Crossed    bool     `json:"cross_replies,omitempty"`
-	CutZones   []string `json:"cut_zones,omitempty"`
-	LosePct    int      `json:"lose_percent,omitempty"`
-	EndOn      string   `json:"end_on,omitempty"`
+	DelayMs          int      `json:"delay_ms,omitempty"`
+	SlowPercent      int      `json:"slow_percent,omitempty"`
+	SlowShards       []string `json:"slow_shards,omitempty"`
+	Refuse           bool     `json:"refuse,omitempty"`
+	Frozen           bool     `json:"frozen,omitempty"`
+	ServeNewest      bool     `json:"serve_newest,omitempty"`
+	CrossReplies     bool     `json:"cross_replies,omitempty"`
+	PartitionedZones []string `json:"cut_zones,omitempty"`
+	LosePercent      int      `json:"lose_percent,omitempty"`
+	CrashOn          string   `json:"end_on,omitempty"`
 }
 
 // slows decides whether one request to shard is slowed: stragglers come
@@ -87,7 +87,7 @@
 	if len(f.SlowShards) > 0 && !slices.Contains(f.SlowShards, shard) {
 		return false
 	}
-	return f.SlowPct == 0 || rand.IntN(100) < f.SlowPct
+	return f.SlowPercent == 0 || rand.IntN(100) < f.SlowPercent
 }
 
 // OnKill sets what the kill action does besides dropping every connection;
@@ -133,7 +133,7 @@
 	defer b.mu.Unlock()
 	switch ctl.Action {
 	case ActSlow:
-		b.faults.DelayMs, b.faults.SlowShards, b.faults.SlowPct = ctl.DelayMs, ctl.Shards, ctl.Percent
+		b.faults.DelayMs, b.faults.SlowShards, b.faults.SlowPercent = ctl.DelayMs, ctl.Shards, ctl.Percent
 	case ActFreeze:
 		if !b.faults.Frozen {
 			b.faults.Frozen = true
@@ -144,15 +144,15 @@
 	case ActRefuse:
 		b.faults.Refuse = true
 	case ActServeNewest:
-		b.faults.Newest = true
+		b.faults.ServeNewest = true
 	case ActCrossReplies:
-		b.faults.Crossed = true
+		b.faults.CrossReplies = true
 	case ActLoseReplies:
-		b.faults.LosePct = ctl.Percent
-	case ActEndOn:
-		b.faults.EndOn = ctl.Text
-	case ActCut:
-		b.faults.CutZones = ctl.Zones
+		b.faults.LosePercent = ctl.Percent
+	case ActCrashOn:
+		b.faults.CrashOn = ctl.Text
+	case ActPartition:
+		b.faults.PartitionedZones = ctl.Zones
 	case ActHeal:
 		b.thawLocked()
 		b.faults = Faults{}
--- a/pkg/standin/backend/handoff.go
+++ b/pkg/standin/backend/handoff.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// RanHolds lists the idempotency keys of the holds on this server's record.
-func (b *Server) RanHolds() []string {
+// ExecutedHoldKeys lists the idempotency keys of the holds on this server's record.
+func (b *Server) ExecutedHoldKeys() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Collect(maps.Keys(b.holds))
--- a/pkg/standin/backend/leaf.go
+++ b/pkg/standin/backend/leaf.go
@@ -48,7 +48,7 @@
 func (b *Server) cross(resp wire.LeafResponse) wire.LeafResponse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.faults.Crossed {
+	if !b.faults.CrossReplies {
 		return resp
 	}
 	prev := b.lastReply
@@ -116,20 +116,20 @@
 func (b *Server) losesReply() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.faults.LosePct > 0 && rand.IntN(100) < b.faults.LosePct
+	return b.faults.LosePercent > 0 && rand.IntN(100) < b.faults.LosePercent
 }
 
 // endsOn reports whether the server ends when it runs req.
 func (b *Server) endsOn(req wire.LeafRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.faults.EndOn != "" && (req.Text == b.faults.EndOn || req.Item == b.faults.EndOn)
+	return b.faults.CrashOn != "" && (req.Text == b.faults.CrashOn || req.Item == b.faults.CrashOn)
 }
 
 func (b *Server) isCutFrom(zone string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return zone != "" && slices.Contains(b.faults.CutZones, zone)
+	return zone != "" && slices.Contains(b.faults.PartitionedZones, zone)
 }
 
 func refusal(code errcode.Code, draining bool) wire.LeafResponse {
@@ -170,7 +170,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.leafs[req.Index]
-	if !b.faults.Newest {
+	if !b.faults.ServeNewest {
 		return l, req.Snapshot
 	}
 	newest := req.Snapshot
--- a/pkg/standin/configservice/server.go
+++ b/pkg/standin/configservice/server.go
@@ -40,9 +40,9 @@
 // CutZones lists availability zones whose readers the service cannot reach
 // (a partition); it is kept across mode changes until set again.
 type Control struct {
-	Mode         Mode     `json:"mode"`
-	StaleVersion int64    `json:"stale_version,omitempty"`
-	CutZones     []string `json:"cut_zones,omitempty"`
+	Mode             Mode     `json:"mode"`
+	StaleVersion     int64    `json:"stale_version,omitempty"`
+	PartitionedZones []string `json:"cut_zones,omitempty"`
 }
 
 // Server is the platform stand-in.
@@ -140,7 +140,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = c.Mode
-	p.cut = c.CutZones
+	p.cut = c.PartitionedZones
 	p.stale = nil
 	if c.Mode == ModeStale {
 		p.stale = p.versionLocked(c.StaleVersion)
