--- a/pkg/standin/backend/cancel.go
+++ b/pkg/standin/backend/cancel.go
@@ -11,32 +11,34 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// searchKey names one leaf search at work.
+// searchKey identifies a running leaf search: one request on one shard.
 type searchKey struct {
 	requestID string
 	shard     string
 }
 
-// begin returns the context a leaf request works under: it ends at the
-// deadline or, for a search, when the entry instance cancels it. The
-// function returned must be called when the work is over.
-func (b *Server) begin(req wire.LeafRequest) (context.Context, func()) {
+// newRequestContext returns the context under which a leaf request runs. It is cancelled
+// at the request's deadline and, for a search, also when the entry instance sends a cancel
+// request. The caller must call the returned function once the request has finished.
+func (b *Server) newRequestContext(req wire.LeafRequest) (context.Context, func()) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.UnixMilli(req.DeadlineUnixMs))
 	if req.Kind != wire.LeafSearch {
 		return ctx, cancel
 	}
 	key := searchKey{req.RequestID, req.Shard}
 	b.mu.Lock()
-	b.searches[key] = cancel
+	b.activeSearches[key] = cancel
 	b.mu.Unlock()
 	return ctx, func() {
 		b.mu.Lock()
-		delete(b.searches, key)
+		delete(b.activeSearches, key)
 		b.mu.Unlock()
 		cancel()
 	}
 }
 
+// handleCancel cancels the running searches of a request on the listed shards. Unknown
+// searches are ignored, since they may have finished already.
 func (b *Server) handleCancel(_ context.Context, c *app.RequestContext) {
 	var req wire.CancelRequest
 	if err := service.DecodeBody(c, &req); err != nil {
@@ -46,7 +48,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, shard := range req.Shards {
-		if cancel, ok := b.searches[searchKey{req.RequestID, shard}]; ok {
+		if cancel, ok := b.activeSearches[searchKey{req.RequestID, shard}]; ok {
 			cancel()
 		}
 	}
--- a/pkg/standin/backend/control.go
+++ b/pkg/standin/backend/control.go
@@ -12,86 +12,101 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// Action names a control action.
+// Action is the kind of a control request.
 type Action string
 
-// Control actions a test or operator can drive.
+// Control actions that tests and operators can request.
 const (
-	ActSlow    Action = "slow"
-	ActFreeze  Action = "freeze"
-	ActThaw    Action = "thaw"
-	ActRefuse  Action = "refuse"
-	ActHeal    Action = "heal"
-	ActDrain   Action = "drain"
-	ActKill    Action = "kill"
+	// ActSlow adds a delay to leaf requests; Control selects which ones.
+	ActSlow Action = "slow"
+	// ActFreeze suspends leaf requests and health checks until ActThaw, like a paused process.
+	ActFreeze Action = "freeze"
+	ActThaw   Action = "thaw"
+	// ActRefuse makes the server refuse every leaf request without running it.
+	ActRefuse Action = "refuse"
+	// ActHeal removes all faults.
+	ActHeal  Action = "heal"
+	ActDrain Action = "drain"
+	ActKill  Action = "kill"
+	// ActPublish and ActDrop add and remove a snapshot of an index.
 	ActPublish Action = "publish"
 	ActDrop    Action = "drop"
-	// ActServeNewest makes the server answer from its newest snapshot
-	// whatever the request pinned, as a server woken late that still
-	// believes its old view of the world.
+	// ActServeNewest makes the server answer from its newest snapshot instead of the pinned
+	// one, like a server that resumes after a long pause with an outdated view of the cluster.
 	ActServeNewest Action = "serve_newest"
-	// ActCrossReplies makes the server answer each request with the reply
-	// it made for the previous one, as a connection mix-up would.
+	// ActCrossReplies makes the server answer each request with the reply to the previous
+	// one, as happens when replies on a connection are matched to the wrong requests.
 	ActCrossReplies Action = "cross_replies"
 	// ActPartition drops every leaf request from the listed availability zones
 	// without a reply, as a network partition between zones does.
 	ActPartition Action = "cut"
-	// ActLoseReplies runs every request but loses the replies of Percent of
-	// them, as a connection lost on the way back does.
+	// ActLoseReplies runs every request but loses the reply to Percent of them, as happens
+	// when the connection breaks before the reply arrives.
 	ActLoseReplies Action = "lose_replies"
-	// ActCrashOn lets the server end, as a crashed process, when it begins to run a request
-	// for Text: a search for it, or a hold of that item.
-	// ActHandOff moves the shard named first in Shards, of index Index, to
-	// the backend server at To with its hold records; that server gets it
-	// by ActAdopt.
+	// ActCrashOn makes the server crash when it starts to run a request for Text: a search
+	// for that text or a hold of that item.
 	ActCrashOn Action = "end_on"
+	// ActHandOff moves the single shard in Shards, of index Index, and its hold records to
+	// the backend server at To, which receives them in an ActAdopt request.
 	ActHandOff Action = "hand_off"
 	ActAdopt   Action = "adopt"
 )
 
-// Control is the body of a control request. DelayMs, Shards and Percent go
-// with slow (no shards: every shard; no percent: every request); Percent
-// alone with lose_replies; Index and
-// Snapshot with publish and drop.
+// Control is the body of a control request. Apart from Action, each field is used only by
+// the actions named beside it.
 type Control struct {
-	Action   Action   `json:"action"`
-	DelayMs  int      `json:"delay_ms,omitempty"`
-	Percent  int      `json:"percent,omitempty"`
-	Shards   []string `json:"shards,omitempty"`
-	Index    string   `json:"index,omitempty"`
-	Snapshot int64    `json:"snapshot,omitempty"`
-	Zones    []string `json:"zones,omitempty"`
-	To       string   `json:"to,omitempty"`
-	Text     string   `json:"text,omitempty"`
-	// State goes with adopt, from one backend server to another.
+	Action Action `json:"action"`
+	// DelayMs is the delay that slow adds to a request.
+	DelayMs int `json:"delay_ms,omitempty"`
+	// Percent is the share of requests affected by slow (0: every request) and lose_replies
+	// (0: none).
+	Percent int `json:"percent,omitempty"`
+	// Shards lists the shards affected by slow (empty: all) and the shard moved by hand_off.
+	Shards []string `json:"shards,omitempty"`
+	// Index is the index that publish, drop and hand_off apply to.
+	Index string `json:"index,omitempty"`
+	// Snapshot is the version that publish adds and drop removes.
+	Snapshot int64 `json:"snapshot,omitempty"`
+	// Zones lists the availability zones cut off by cut.
+	Zones []string `json:"zones,omitempty"`
+	// To is the address of the backend server that takes over the shard in hand_off.
+	To string `json:"to,omitempty"`
+	// Text is the search text or hold item on which the server crashes under end_on.
+	Text string `json:"text,omitempty"`
+	// State is the shard that adopt transfers from one backend server to another.
 	State *shardState `json:"state,omitempty"`
 }
 
-// Faults are the faults in force.
+// Faults holds the faults in force.
 type Faults struct {
-	DelayMs          int      `json:"delay_ms,omitempty"`
-	SlowPercent      int      `json:"slow_percent,omitempty"`
+	// DelayMs is the delay added to slowed requests; 0 means that none is slowed.
+	DelayMs int `json:"delay_ms,omitempty"`
+	// SlowPercent is the share of requests that are slowed; 0 means all.
+	SlowPercent int `json:"slow_percent,omitempty"`
+	// SlowShards lists the shards whose requests are slowed; empty means all.
 	SlowShards       []string `json:"slow_shards,omitempty"`
 	Refuse           bool     `json:"refuse,omitempty"`
 	Frozen           bool     `json:"frozen,omitempty"`
 	ServeNewest      bool     `json:"serve_newest,omitempty"`
 	CrossReplies     bool     `json:"cross_replies,omitempty"`
 	PartitionedZones []string `json:"cut_zones,omitempty"`
-	LosePercent      int      `json:"lose_percent,omitempty"`
-	CrashOn          string   `json:"end_on,omitempty"`
+	// LosePercent is the share of replies that are lost; 0 means none.
+	LosePercent int `json:"lose_percent,omitempty"`
+	// CrashOn is the search text or hold item on which the server crashes; empty means none.
+	CrashOn string `json:"end_on,omitempty"`
 }
 
-// slows decides whether one request to shard is slowed: stragglers come
-// from the listed shards, on SlowPct percent of requests (all when 0).
-func (f Faults) slows(shard string) bool {
+// shouldSlow decides at random whether one request to shard is slowed: SlowPercent of the
+// requests to the listed shards are.
+func (f Faults) shouldSlow(shard string) bool {
 	if len(f.SlowShards) > 0 && !slices.Contains(f.SlowShards, shard) {
 		return false
 	}
 	return f.SlowPercent == 0 || rand.IntN(100) < f.SlowPercent
 }
 
-// OnKill sets what the kill action does besides dropping every connection;
-// the process binary exits there.
+// OnKill sets a function that Kill calls after dropping every connection. The backend
+// command exits its process in it.
 func (b *Server) OnKill(f func()) { b.onKill = f }
 
 func (b *Server) handleControl(_ context.Context, c *app.RequestContext) {
@@ -112,7 +127,7 @@
 	c.JSON(200, b.State())
 }
 
-// Apply carries out a control action other than kill.
+// Apply performs a control action.
 func (b *Server) Apply(ctl Control) error {
 	switch ctl.Action {
 	case ActDrain:
@@ -123,7 +138,7 @@
 		return nil
 	case ActHandOff:
 		if len(ctl.Shards) != 1 {
-			return errcode.New(errcode.BadRequest, "hand_off needs one shard")
+			return errcode.New(errcode.BadRequest, "hand_off requires exactly one shard")
 		}
 		return b.handOff(ctl.Index, ctl.Shards[0], ctl.To)
 	case ActAdopt:
@@ -159,7 +174,7 @@
 	case ActPublish, ActDrop:
 		l, ok := b.leafs[ctl.Index]
 		if !ok {
-			return errcode.New(errcode.UnknownIndex, "no leaf of index %q", ctl.Index)
+			return errcode.New(errcode.UnknownIndex, "server hosts no shard of index %q", ctl.Index)
 		}
 		if ctl.Action == ActPublish {
 			l.snapshots[ctl.Snapshot] = true
@@ -172,6 +187,7 @@
 	return nil
 }
 
+// thawLocked releases the requests that wait for the end of a freeze. b.mu must be held.
 func (b *Server) thawLocked() {
 	if b.faults.Frozen {
 		b.faults.Frozen = false
@@ -179,15 +195,17 @@
 	}
 }
 
-func (b *Server) waitThawed() {
+// waitUntilThawed blocks while the server is frozen.
+func (b *Server) waitUntilThawed() {
 	b.mu.Lock()
 	ch := b.thawed
 	b.mu.Unlock()
 	<-ch
 }
 
-// Drain marks the server leaving: it refuses new work unrun, says so in
-// every reply, and the platform's instance list learns of it after its lag.
+// Drain marks the server as leaving. It then refuses new requests without running them,
+// sets the draining flag in every reply and reports itself as leaving to the platform,
+// whose instance list shows the change after its lag.
 func (b *Server) Drain() {
 	b.mu.Lock()
 	already := b.draining
@@ -197,18 +215,18 @@
 		return
 	}
 	b.log.Info("draining")
-	b.setHealth("draining")
-	b.announce(wire.InstanceLeaving)
+	b.recordHealth("draining")
+	b.reportState(wire.InstanceLeaving)
 }
 
-// Kill drops every connection and stops accepting, as a crashed process.
+// Kill closes the listener and every connection abruptly, like a crashed process.
 func (b *Server) Kill() {
 	b.mu.Lock()
-	if b.dead {
+	if b.killed {
 		b.mu.Unlock()
 		return
 	}
-	b.dead = true
+	b.killed = true
 	b.thawLocked()
 	b.mu.Unlock()
 	b.log.Info("killed")
--- a/pkg/standin/backend/data.go
+++ b/pkg/standin/backend/data.go
@@ -9,12 +9,13 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// Fake data shape.
+// Dimensions of the generated sample data.
 const (
 	itemsPerShard = 5
 	bedsPerItem   = 3
 )
 
+// partWords are the texts of the items of a parts shard, in row order.
 var partWords = []string{"bracket", "bolt", "flange", "housing", "shaft"}
 
 // item is one searchable row of a leaf at one snapshot version.
@@ -23,8 +24,8 @@
 	text string
 }
 
-// items builds a shard's rows at a snapshot version. Rows differ between
-// versions so an answer shows which snapshot it was drawn from.
+// items returns the rows of a shard at a snapshot version. The names of parts contain the
+// version, so that an answer shows which snapshot it came from.
 func items(dataset, shard string, snapshot int64) []item {
 	out := make([]item, 0, itemsPerShard)
 	for k := 0; k < itemsPerShard; k++ {
@@ -41,14 +42,19 @@
 	return out
 }
 
+// score returns a deterministic pseudo-random score of an item for a search text.
 func score(itemName, text string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(itemName + "|" + text))
 	return int(h.Sum32() % 1000)
 }
 
-// search returns the rows matching text, best score first, at most limit.
-func (l *leaf) search(shard string, snapshot int64, text string, limit int, remaining func(string) int) []wire.Hit {
+// search returns the rows that contain text, ignoring case, in descending order of score.
+// It returns at most limit rows, or all if limit is 0. Items without free beds, as
+// reported by remaining, are left out of a beds dataset.
+func (l *leaf) search(
+	shard string, snapshot int64, text string, limit int, remaining func(string) int,
+) []wire.Hit {
 	text = strings.ToLower(text)
 	var hits []wire.Hit
 	for _, it := range items(l.dataset, shard, snapshot) {
--- a/pkg/standin/backend/handoff.go
+++ b/pkg/standin/backend/handoff.go
@@ -11,34 +11,36 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// handOffTimeout bounds the transfer of one shard between backend servers.
+// handOffTimeout is the maximum duration of the transfer of one shard between backend
+// servers.
 const handOffTimeout = 2 * time.Second
 
-// holdRecord is one not-repeatable request that ran: what a repeat of its
-// idempotency key is answered from.
+// holdRecord is the result of a hold that was executed. A repeated request with the same
+// idempotency key is answered from it.
 type holdRecord struct {
 	Index  string          `json:"index"`
 	Shard  string          `json:"shard"`
 	Result wire.HoldResult `json:"result"`
 }
 
-// shardState is what moves with a shard to another backend server: its
-// snapshots, the beds left and the record of every hold that ran.
+// shardState is the data transferred when a shard moves to another backend server.
 type shardState struct {
-	Index     string                `json:"index"`
-	Shard     string                `json:"shard"`
-	Dataset   string                `json:"dataset"`
-	Snapshots []int64               `json:"snapshots"`
-	Beds      map[string]int        `json:"beds"`
-	Holds     map[string]holdRecord `json:"holds"`
+	Index     string  `json:"index"`
+	Shard     string  `json:"shard"`
+	Dataset   string  `json:"dataset"`
+	Snapshots []int64 `json:"snapshots"`
+	// Beds holds the number of free beds by item.
+	Beds map[string]int `json:"beds"`
+	// Holds holds the executed holds by idempotency key.
+	Holds map[string]holdRecord `json:"holds"`
 }
 
-// handOff moves a shard of this server to the one at addr. This server
-// stops holding the shard before the other starts, so that in the moment
-// between, with entry instances on either side of the configuration change,
-// a hold finds at most one server that will run it.
+// handOff moves a shard of this server to the server at addr. This server gives up the
+// shard before the other one takes it over. While some entry instances already have the
+// new configuration and others still have the old one, at most one server thus executes a
+// hold.
 func (b *Server) handOff(index, shard, addr string) error {
-	state, err := b.takeOut(index, shard)
+	state, err := b.removeShard(index, shard)
 	if err != nil {
 		return err
 	}
@@ -48,32 +50,33 @@
 	}
 	defer c.Close()
 	body := Control{Action: ActAdopt, State: state}
-	_, err = c.Do(context.Background(), "POST", "http://"+addr+PathControl, nil, body, nil, time.Now().Add(handOffTimeout))
+	_, err = c.Do(context.Background(), "POST", "http://"+addr+PathControl,
+		nil, body, nil, time.Now().Add(handOffTimeout))
 	return err
 }
 
-// takeOut removes a shard and returns its state.
-func (b *Server) takeOut(index, shard string) (*shardState, error) {
+// removeShard removes a shard from this server and returns its state.
+func (b *Server) removeShard(index, shard string) (*shardState, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l, ok := b.leafs[index]
 	if !ok || !l.shards[shard] {
-		return nil, errcode.New(errcode.ShardNotHosted, "no leaf of %s/%s", index, shard)
+		return nil, errcode.New(errcode.ShardNotHosted, "shard %s/%s is not hosted here", index, shard)
 	}
 	s := &shardState{Index: index, Shard: shard, Dataset: l.dataset, Beds: map[string]int{}, Holds: map[string]holdRecord{}}
 	for v := range l.snapshots {
 		s.Snapshots = append(s.Snapshots, v)
 	}
 	for _, it := range items(l.dataset, shard, 0) {
-		if n, ok := b.beds[it.name]; ok {
+		if n, ok := b.bedsLeft[it.name]; ok {
 			s.Beds[it.name] = n
-			delete(b.beds, it.name)
+			delete(b.bedsLeft, it.name)
 		}
 	}
-	for key, h := range b.holds {
+	for key, h := range b.holdRecords {
 		if h.Index == index && h.Shard == shard {
 			s.Holds[key] = h
-			delete(b.holds, key)
+			delete(b.holdRecords, key)
 		}
 	}
 	delete(l.shards, shard)
@@ -83,7 +86,7 @@
 // adopt takes over a shard handed off by another backend server.
 func (b *Server) adopt(s *shardState) error {
 	if s == nil {
-		return errcode.New(errcode.BadRequest, "adopt needs a state")
+		return errcode.New(errcode.BadRequest, "adopt requires the state of a shard")
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,18 +99,18 @@
 		l.snapshots[v] = true
 	}
 	for item, n := range s.Beds {
-		b.beds[item] = n
+		b.bedsLeft[item] = n
 	}
 	for key, h := range s.Holds {
-		b.holds[key] = h
+		b.holdRecords[key] = h
 	}
 	l.shards[s.Shard] = true
 	return nil
 }
 
-// ExecutedHoldKeys lists the idempotency keys of the holds on this server's record.
+// ExecutedHoldKeys returns the idempotency keys of the holds recorded on this server.
 func (b *Server) ExecutedHoldKeys() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Collect(maps.Keys(b.holds))
+	return slices.Collect(maps.Keys(b.holdRecords))
 }
--- a/pkg/standin/backend/leaf.go
+++ b/pkg/standin/backend/leaf.go
@@ -15,37 +15,38 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
+// handleLeaf runs one leaf request, subject to the faults in force.
 func (b *Server) handleLeaf(_ context.Context, c *app.RequestContext) {
 	var req wire.LeafRequest
 	if err := service.DecodeBody(c, &req); err != nil {
 		c.JSON(400, wire.LeafResponse{Code: errcode.BadRequest, Message: err.Error()})
 		return
 	}
-	// A frozen process answers nothing until it wakes; it then still holds
-	// the request it read before the freeze.
-	b.waitThawed()
-	if b.isCutFrom(req.FromZone) {
-		// A partition: the request never arrives.
-		answerNothing(c, req)
+	// A frozen process does not answer until it resumes. It then continues with the
+	// requests that it had read before.
+	b.waitUntilThawed()
+	if b.isPartitionedFrom(req.FromZone) {
+		// In a network partition the request never arrives.
+		dropReply(c, req)
 		return
 	}
 	b.received.Inc()
 	resp := b.serve(req)
-	if b.losesReply() {
-		answerNothing(c, req)
+	if b.shouldLoseReply() {
+		dropReply(c, req)
 		return
 	}
 	resp.RequestID, resp.Shard = req.RequestID, req.Shard
 	if resp.Snapshot == 0 {
 		resp.Snapshot = req.Snapshot
 	}
-	resp.Load = &wire.Load{Running: len(b.slots), Waiting: int(b.waiting.Load()), Slots: cap(b.slots)}
-	c.JSON(200, b.cross(resp))
+	resp.Load = &wire.Load{Running: len(b.slots), Waiting: int(b.waitingForSlot.Load()), Slots: cap(b.slots)}
+	c.JSON(200, b.swapReply(resp))
 }
 
-// cross returns the previous reply in place of this one while the
-// cross_replies fault is on.
-func (b *Server) cross(resp wire.LeafResponse) wire.LeafResponse {
+// swapReply returns the previous reply instead of this one while the cross_replies fault
+// is in force.
+func (b *Server) swapReply(resp wire.LeafResponse) wire.LeafResponse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.faults.CrossReplies {
@@ -59,74 +60,76 @@
 	return *prev
 }
 
-// serve runs one leaf request and returns its reply. Every refusal before
-// the work starts carries a code whose NotRun is true.
+// serve runs one leaf request and returns its reply. Every refusal before the request
+// starts to run carries a code for which NotRun is true.
 func (b *Server) serve(req wire.LeafRequest) wire.LeafResponse {
 	if code := b.admit(req); code != errcode.OK {
 		return refusal(code, b.isDraining())
 	}
-	ctx, end := b.begin(req)
+	ctx, end := b.newRequestContext(req)
 	defer end()
-	if !b.acquire(ctx) {
+	if !b.acquireSlot(ctx) {
 		b.shed.Inc()
 		return refusal(errcode.ShardRefused, b.isDraining())
 	}
-	defer b.release()
-	if err := b.wait(ctx, req.Shard); err != nil {
-		return refusal(b.abandoned(err), b.isDraining())
+	defer b.releaseSlot()
+	if err := b.simulateWork(ctx, req.Shard); err != nil {
+		return refusal(b.countUnfinished(err), b.isDraining())
 	}
-	if b.endsOn(req) {
+	if b.shouldCrashOn(req) {
 		go b.Kill()
-		<-ctx.Done() // The connection is gone by then.
+		<-ctx.Done() // Kill closes the connection in the meantime.
 	}
 	b.executed.Inc()
 	resp := wire.LeafResponse{Code: errcode.OK, Draining: b.isDraining()}
 	if req.Kind == wire.LeafHold {
-		resp.Held = b.hold(req)
+		resp.Held = b.executeHold(req)
 		return resp
 	}
 	l, snapshot := b.snapshotFor(req)
 	resp.Snapshot = snapshot
-	resp.Hits = l.search(req.Shard, snapshot, req.Text, req.Limit, b.remaining)
+	resp.Hits = l.search(req.Shard, snapshot, req.Text, req.Limit, b.remainingBeds)
 	return resp
 }
 
-// abandoned counts a leaf request given up before its work was done, and
-// returns its code.
-func (b *Server) abandoned(err error) errcode.Code {
+// countUnfinished counts a leaf request whose context ended before it finished and
+// returns the code of its reply.
+func (b *Server) countUnfinished(err error) errcode.Code {
 	if errors.Is(err, context.Canceled) {
-		b.stopped.Inc()
+		b.cancelled.Inc()
 		return errcode.ShardCancelled
 	}
-	b.late.Inc()
+	b.pastDeadline.Inc()
 	return errcode.ShardTimeout
 }
 
-// cutSlack keeps a partitioned request open past its deadline, so the
-// caller sees a timeout and not a reply.
-const cutSlack = 50 * time.Millisecond
+// droppedReplyDelay is how long past its deadline a request without a reply stays open,
+// so that the caller sees a timeout instead of a reply.
+const droppedReplyDelay = 50 * time.Millisecond
 
-// answerNothing keeps the connection open past the caller's deadline and
-// then answers nothing that counts.
-func answerNothing(c *app.RequestContext, req wire.LeafRequest) {
-	time.Sleep(max(time.Until(time.UnixMilli(req.DeadlineUnixMs)), 0) + cutSlack)
+// dropReply simulates a request or reply that is lost: it waits until the caller's
+// deadline has passed and then answers with status 503, which the caller no longer reads.
+func dropReply(c *app.RequestContext, req wire.LeafRequest) {
+	time.Sleep(max(time.Until(time.UnixMilli(req.DeadlineUnixMs)), 0) + droppedReplyDelay)
 	c.AbortWithStatus(503)
 }
 
-func (b *Server) losesReply() bool {
+// shouldLoseReply decides at random whether the lose_replies fault affects a reply.
+func (b *Server) shouldLoseReply() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults.LosePercent > 0 && rand.IntN(100) < b.faults.LosePercent
 }
 
-// endsOn reports whether the server ends when it runs req.
-func (b *Server) endsOn(req wire.LeafRequest) bool {
+// shouldCrashOn reports whether the server crashes when it runs req.
+func (b *Server) shouldCrashOn(req wire.LeafRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults.CrashOn != "" && (req.Text == b.faults.CrashOn || req.Item == b.faults.CrashOn)
 }
 
-func (b *Server) isCutFrom(zone string) bool {
+// isPartitionedFrom reports whether requests from zone are dropped.
+func (b *Server) isPartitionedFrom(zone string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return zone != "" && slices.Contains(b.faults.PartitionedZones, zone)
@@ -136,19 +139,19 @@
 	return wire.LeafResponse{Code: code, Message: code.Name(), Draining: draining}
 }
 
-// admit checks, before any work, that the server takes new work and holds
-// the shard at the pinned snapshot.
+// admit returns OK if the server accepts new requests and hosts the shard at the pinned
+// snapshot, and otherwise the code of the refusal.
 func (b *Server) admit(req wire.LeafRequest) errcode.Code {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case b.draining:
-		b.refusedDraining[req.RequestID] = true
+		b.refusedWhileDraining[req.RequestID] = true
 		return errcode.ShardRefused
 	case b.faults.Refuse:
 		return errcode.ShardRefused
 	case time.Now().After(time.UnixMilli(req.DeadlineUnixMs)):
-		b.late.Inc()
+		b.pastDeadline.Inc()
 		return errcode.ShardTimeout
 	}
 	l, ok := b.leafs[req.Index]
@@ -164,8 +167,8 @@
 	return errcode.OK
 }
 
-// snapshotFor returns the leaf and the snapshot a search is served from:
-// the pinned one, or the newest held under the serve_newest fault.
+// snapshotFor returns the leaf and the snapshot that a search reads: the pinned snapshot,
+// or the newest one while the serve_newest fault is in force.
 func (b *Server) snapshotFor(req wire.LeafRequest) (*leaf, int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,10 +189,11 @@
 	return b.draining
 }
 
-func (b *Server) acquire(ctx context.Context) bool {
-	b.waiting.Add(1)
-	defer b.waiting.Add(-1)
-	t := time.NewTimer(shedWait)
+// acquireSlot waits for a slot for at most maxSlotWait and reports whether it got one.
+func (b *Server) acquireSlot(ctx context.Context) bool {
+	b.waitingForSlot.Add(1)
+	defer b.waitingForSlot.Add(-1)
+	t := time.NewTimer(maxSlotWait)
 	defer t.Stop()
 	select {
 	case b.slots <- struct{}{}:
@@ -201,52 +205,55 @@
 	}
 }
 
-func (b *Server) release() { <-b.slots }
+func (b *Server) releaseSlot() { <-b.slots }
 
-// wait works for the service time of the request (cold start and the slow
-// fault) and returns the context's error when that ended first: the caller
-// has given up, so finishing would do work nobody reads and, for a hold,
-// would act after the entry answered "unknown".
-func (b *Server) wait(ctx context.Context, shard string) error {
+// simulateWork sleeps for the service time of the request. If ctx ends first, it returns
+// the error of ctx and the request must not run: the entry instance has given up on it, so
+// a search would be wasted, and a hold would take effect after the entry instance has
+// reported its outcome as unknown.
+func (b *Server) simulateWork(ctx context.Context, shard string) error {
 	service.Sleep(ctx, b.serviceTime(shard))
 	return ctx.Err()
 }
 
+// serviceTime returns how long a request to shard takes: a tenth of the remaining warm-up
+// time after a cold start, plus the delay of the slow fault.
 func (b *Server) serviceTime(shard string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var d time.Duration
-	if cold := settings.Duration(b.set.ColdStartMs); cold > 0 {
+	if cold := settings.Duration(b.settings.ColdStartMs); cold > 0 {
 		if left := cold - time.Since(b.started); left > 0 {
 			d += left / 10
 		}
 	}
-	if b.faults.DelayMs > 0 && b.faults.slows(shard) {
+	if b.faults.DelayMs > 0 && b.faults.shouldSlow(shard) {
 		d += settings.Duration(b.faults.DelayMs)
 	}
 	return d
 }
 
-func (b *Server) remaining(item string) int {
+// remainingBeds returns the number of free beds of an item.
+func (b *Server) remainingBeds(item string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n, ok := b.beds[item]; ok {
+	if n, ok := b.bedsLeft[item]; ok {
 		return n
 	}
 	return bedsPerItem
 }
 
-// hold takes one bed of the item at most once per idempotency key: a
-// repeated key gets the recorded result back and changes nothing.
-func (b *Server) hold(req wire.LeafRequest) *wire.HoldResult {
+// executeHold takes one bed of an item, at most once for each idempotency key. A repeated
+// key gets the recorded result and changes nothing.
+func (b *Server) executeHold(req wire.LeafRequest) *wire.HoldResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if prev, ok := b.holds[req.IdempotencyKey]; ok {
-		b.replayed.Inc()
+	if prev, ok := b.holdRecords[req.IdempotencyKey]; ok {
+		b.holdsReplayed.Inc()
 		prev.Result.Replayed = true
 		return &prev.Result
 	}
-	left, ok := b.beds[req.Item]
+	left, ok := b.bedsLeft[req.Item]
 	if !ok {
 		left = bedsPerItem
 	}
@@ -254,9 +261,9 @@
 	if res.Granted {
 		left--
 	}
-	b.beds[req.Item] = left
+	b.bedsLeft[req.Item] = left
 	res.Remaining = left
-	b.holds[req.IdempotencyKey] = holdRecord{Index: req.Index, Shard: req.Shard, Result: res}
-	b.holdsRun.Inc()
+	b.holdRecords[req.IdempotencyKey] = holdRecord{Index: req.Index, Shard: req.Shard, Result: res}
+	b.holdsExecuted.Inc()
 	return &res
 }
--- a/pkg/standin/backend/limit.go
+++ b/pkg/standin/backend/limit.go
@@ -6,17 +6,22 @@
 	"sync/atomic"
 )
 
-// limitListener refuses connections beyond max by closing them at once, as a
-// backend server with a connection limit does. Refused counts them.
+// limitListener accepts at most max open connections. It closes further ones immediately,
+// as a backend server with a connection limit does.
 type limitListener struct {
 	net.Listener
-	max     int64
-	open    atomic.Int64
+	// max is the maximum number of open connections.
+	max int64
+	// open is the number of open connections.
+	open atomic.Int64
+	// refused is the number of connections closed because of the limit so far.
 	refused atomic.Int64
 	mu      sync.Mutex
 	conns   map[*limitConn]struct{}
 }
 
+// limitConn is a connection that counts against the limit of ln until it is closed.
+
 type limitConn struct {
 	net.Conn
 	ln   *limitListener
@@ -47,7 +52,7 @@
 	}
 }
 
-// closeAll drops every open connection, as a killed process would.
+// closeAll closes every open connection, as the end of a process does.
 func (l *limitListener) closeAll() {
 	l.mu.Lock()
 	conns := make([]*limitConn, 0, len(l.conns))
--- a/pkg/standin/backend/server.go
+++ b/pkg/standin/backend/server.go
@@ -1,9 +1,9 @@
-// Package backend owns the backend server stand-in: a small HTTP server that
-// holds leafs of a few indexes at several snapshot versions, runs leaf
-// requests in a fixed number of slots behind a connection limit, sheds load,
-// drains, starts cold, honours deadlines, and takes faults (slow, freeze,
-// refuse, kill) from its control endpoint. It is a stand-in at the
-// interface, not a simulator of a cluster.
+// Package backend implements a test double of a backend server: a small HTTP server that
+// hosts leafs of a few indexes at several snapshot versions. It runs leaf requests in a
+// fixed number of slots behind a connection limit, sheds load, drains, has a cold start,
+// honours deadlines and cancel requests, and injects faults (such as slow, freeze, refuse
+// and kill) on request at its control endpoint. It replaces the real server only at its
+// HTTP interface and does not simulate a cluster.
 package backend
 
 import (
@@ -24,80 +24,89 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// PathControl takes faults from tests and operators of the stand-in.
+// PathControl is the path at which tests and operators inject faults.
 const PathControl = "/control"
 
-// shedWait is how long a leaf request waits for a slot before the backend
-// server sheds it unrun.
-const shedWait = 20 * time.Millisecond
+// maxSlotWait is the maximum time that a leaf request waits for a slot. After that, the
+// server sheds it without running it.
+const maxSlotWait = 20 * time.Millisecond
 
-// leaf is what the backend server holds of one index.
+// leaf is the part of one index that the backend server hosts.
 type leaf struct {
 	dataset   string
 	shards    map[string]bool
 	snapshots map[int64]bool
 }
 
-// Server is one backend server stand-in.
+// Server is a test double of a backend server.
 type Server struct {
-	set     *settings.Backend
-	srv     *service.Server
-	ln      *limitListener
-	log     *logrus.Entry
-	metrics *metrics.Set
-	slots   chan struct{}
-	waiting atomic.Int64
-	started time.Time
-	report  func(wire.Instance)
-	onKill  func()
-
-	mu       sync.Mutex
-	leafs    map[string]*leaf
-	faults   Faults
+	settings *settings.Backend
+	srv      *service.Server
+	ln       *limitListener
+	log      *logrus.Entry
+	metrics  *metrics.Set
+	// slots holds one element for each running leaf request.
+	slots chan struct{}
+	// waitingForSlot is the number of leaf requests that wait for a slot.
+	waitingForSlot atomic.Int64
+	started        time.Time
+	// report sends the server's state to the platform stand-in; it may be nil.
+	report func(wire.Instance)
+	onKill func()
+
+	mu sync.Mutex
+	// leafs holds the hosted leafs by index.
+	leafs  map[string]*leaf
+	faults Faults
+	// thawed is closed unless the server is frozen.
 	thawed   chan struct{}
 	draining bool
-	dead     bool
-	holds    map[string]holdRecord
-	beds     map[string]int
-	health   []healthAt
-	// lastReply feeds the cross_replies fault.
+	killed   bool
+	// holdRecords holds the executed holds by idempotency key.
+	holdRecords map[string]holdRecord
+	// bedsLeft holds the number of free beds by item; a missing item has bedsPerItem.
+	bedsLeft map[string]int
+	// healthChanges holds the states so far, oldest first.
+	healthChanges []healthChange
+	// lastReply is the previous reply, for the cross_replies fault.
 	lastReply *wire.LeafResponse
-	// searches holds the searches at work, each with what ends it early.
-	searches map[searchKey]context.CancelFunc
-	// refusedDraining holds the IDs of the requests refused while draining.
-	refusedDraining map[string]bool
-
-	received *metrics.Counter
-	executed *metrics.Counter
-	shed     *metrics.Counter
-	holdsRun *metrics.Counter
-	replayed *metrics.Counter
-	late     *metrics.Counter
-	stopped  *metrics.Counter
+	// activeSearches holds the cancel functions of the running searches.
+	activeSearches map[searchKey]context.CancelFunc
+	// refusedWhileDraining holds the IDs of the requests refused while draining.
+	refusedWhileDraining map[string]bool
+
+	received      *metrics.Counter
+	executed      *metrics.Counter
+	shed          *metrics.Counter
+	holdsExecuted *metrics.Counter
+	holdsReplayed *metrics.Counter
+	pastDeadline  *metrics.Counter
+	cancelled     *metrics.Counter
 }
 
-type healthAt struct {
+// healthChange is the state that the server has had since a point in time.
+type healthChange struct {
 	at    time.Time
 	state string
 }
 
-// New builds a backend server from checked settings. report, when not nil,
-// tells the platform stand-in of the server's state, as the platform would
-// learn of it itself.
+// New returns a backend server that listens but does not serve yet. The settings must be
+// valid. If report is not nil, the server calls it with each change of its state, in place
+// of the platform's own monitoring of instances.
 func New(s *settings.Backend, log *logrus.Entry, report func(wire.Instance)) (*Server, error) {
 	b := &Server{
-		set:     s,
-		log:     log,
-		metrics: metrics.NewSet(),
-		slots:   make(chan struct{}, s.Slots),
-		leafs:   map[string]*leaf{},
-		holds:   map[string]holdRecord{},
-		beds:    map[string]int{},
-		thawed:  closedChan(),
-		report:  report,
-
-		searches:        map[searchKey]context.CancelFunc{},
-		refusedDraining: map[string]bool{},
+		settings:    s,
+		log:         log,
+		metrics:     metrics.NewSet(),
+		slots:       make(chan struct{}, s.Slots),
+		leafs:       map[string]*leaf{},
+		holdRecords: map[string]holdRecord{},
+		bedsLeft:    map[string]int{},
+		thawed:      closedChan(),
+		report:      report,
+
+		activeSearches:       map[searchKey]context.CancelFunc{},
+		refusedWhileDraining: map[string]bool{},
 	}
 	for _, l := range s.Leafs {
 		b.leafs[l.Index] = newLeaf(l)
@@ -105,10 +114,10 @@
 	b.received = b.metrics.NewCounter("backend_leaf_requests_total")
 	b.executed = b.metrics.NewCounter("backend_leaf_executed_total")
 	b.shed = b.metrics.NewCounter("backend_leaf_shed_total")
-	b.holdsRun = b.metrics.NewCounter("backend_holds_executed_total")
-	b.replayed = b.metrics.NewCounter("backend_holds_replayed_total")
-	b.late = b.metrics.NewCounter("backend_leaf_past_deadline_total")
-	b.stopped = b.metrics.NewCounter("backend_leaf_cancelled_total")
+	b.holdsExecuted = b.metrics.NewCounter("backend_holds_executed_total")
+	b.holdsReplayed = b.metrics.NewCounter("backend_holds_replayed_total")
+	b.pastDeadline = b.metrics.NewCounter("backend_leaf_past_deadline_total")
+	b.cancelled = b.metrics.NewCounter("backend_leaf_cancelled_total")
 	wrap := func(ln net.Listener) net.Listener {
 		b.ln = newLimitListener(ln, s.MaxConns)
 		return b.ln
@@ -138,45 +147,48 @@
 	return l
 }
 
+// closedChan returns a closed channel.
 func closedChan() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }
 
-// Start serves in the background and reports the server live.
+// Start serves in the background and reports the server as live.
 func (b *Server) Start() {
 	b.started = time.Now()
 	b.srv.Start()
-	b.setHealth("live")
-	b.announce(wire.InstanceLive)
+	b.recordHealth("live")
+	b.reportState(wire.InstanceLive)
 }
 
-// Addr is the bound address.
+// Addr returns the address that the server listens on.
 func (b *Server) Addr() string { return b.srv.Addr() }
 
-// Name is the backend server's name.
-func (b *Server) Name() string { return b.set.Name }
+// Name returns the name of the backend server.
+func (b *Server) Name() string { return b.settings.Name }
+
+// Executed returns the number of leaf requests that ran.
+func (b *Server) Executed() uint64 { return b.executed.Get() }
 
-// Executed counts leaf requests that ran; HoldsExecuted counts holds that
-// changed state.
-func (b *Server) Executed() uint64      { return b.executed.Get() }
-func (b *Server) HoldsExecuted() uint64 { return b.holdsRun.Get() }
+// HoldsExecuted returns the number of holds that ran, without those answered from the
+// record of an earlier one.
+func (b *Server) HoldsExecuted() uint64 { return b.holdsExecuted.Get() }
 
-// Received counts leaf requests that reached the handler.
+// Received returns the number of leaf requests that arrived, whether they ran or not.
 func (b *Server) Received() uint64 { return b.received.Get() }
 
-// RefusedWhileDraining lists the IDs of the requests of which at least one
-// leaf request was refused because the server is draining. A request that
-// asks several of its shards counts once.
+// RefusedWhileDraining returns the IDs of the requests of which at least one leaf request
+// was refused because the server is draining. A request to several shards of the server
+// counts once.
 func (b *Server) RefusedWhileDraining() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Sorted(maps.Keys(b.refusedDraining))
+	return slices.Sorted(maps.Keys(b.refusedWhileDraining))
 }
 
-// Stop drains and stops gracefully: new leaf requests are refused unrun
-// while requests in flight finish.
+// Stop shuts down gracefully: it drains the server, so that new leaf requests are refused
+// without running, and waits until the requests in flight have finished.
 func (b *Server) Stop(ctx context.Context) error {
 	b.Drain()
 	for len(b.slots) > 0 && ctx.Err() == nil {
@@ -185,26 +197,28 @@
 	return b.srv.StopIdle(ctx)
 }
 
-func (b *Server) announce(state wire.InstanceState) {
+// reportState reports the server to the platform stand-in in the given state.
+func (b *Server) reportState(state wire.InstanceState) {
 	if b.report != nil {
-		b.report(wire.Instance{Name: b.set.Name, Zone: b.set.Zone, Addr: b.Addr(), State: state})
+		b.report(wire.Instance{Name: b.settings.Name, Zone: b.settings.Zone, Addr: b.Addr(), State: state})
 	}
 }
 
-func (b *Server) setHealth(state string) {
+// recordHealth records a change of the state shown by the health endpoint.
+func (b *Server) recordHealth(state string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.health = append(b.health, healthAt{at: time.Now(), state: state})
+	b.healthChanges = append(b.healthChanges, healthChange{at: time.Now(), state: state})
 }
 
-// laggedHealth is what the health endpoint says: the state as it was
-// health_lag_ms ago, as real health endpoints lag.
+// laggedHealth returns the state shown by the health endpoint. It is the state as of
+// health_lag_ms ago, because real health endpoints lag too.
 func (b *Server) laggedHealth() string {
-	asOf := time.Now().Add(-settings.Duration(b.set.HealthLagMs))
+	asOf := time.Now().Add(-settings.Duration(b.settings.HealthLagMs))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state := "starting"
-	for _, h := range b.health {
+	for _, h := range b.healthChanges {
 		if h.at.After(asOf) {
 			break
 		}
@@ -214,11 +228,11 @@
 }
 
 func (b *Server) handleHealth(_ context.Context, c *app.RequestContext) {
-	b.waitThawed()
-	c.JSON(200, wire.Health{Name: b.set.Name, State: b.laggedHealth(), InFlight: int64(len(b.slots))})
+	b.waitUntilThawed()
+	c.JSON(200, wire.Health{Name: b.settings.Name, State: b.laggedHealth(), InFlight: int64(len(b.slots))})
 }
 
-// State is the dump served at /debug/state.
+// State returns the state dump served at /debug/state.
 func (b *Server) State() any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,14 +243,14 @@
 		}
 	}
 	return State{
-		Name: b.set.Name, Zone: b.set.Zone, Faults: b.faults, Draining: b.draining,
-		Snapshots: idx, Holds: len(b.holds), SlotsBusy: len(b.slots),
+		Name: b.settings.Name, Zone: b.settings.Zone, Faults: b.faults, Draining: b.draining,
+		Snapshots: idx, Holds: len(b.holdRecords), SlotsBusy: len(b.slots),
 		ConnsOpen: b.ln.open.Load(), ConnsRefused: b.ln.refused.Load(),
 		Received: b.received.Get(), Executed: b.executed.Get(), Shed: b.shed.Get(),
 	}
 }
 
-// State is the backend server stand-in's state dump.
+// State is the state dump of a backend server.
 type State struct {
 	Name         string             `json:"name"`
 	Zone         string             `json:"zone"`
--- a/pkg/standin/configservice/instances.go
+++ b/pkg/standin/configservice/instances.go
@@ -14,12 +14,12 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// Report records an instance's state as the platform itself would learn it.
+// Report records the state of an instance, in place of the platform's own monitoring.
 // The published list shows it only after the instance lag.
 func (p *Server) Report(inst wire.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.events = append(p.events, instanceEvent{at: time.Now(), inst: inst})
+	p.instanceReports = append(p.instanceReports, instanceReport{at: time.Now(), inst: inst})
 }
 
 func (p *Server) handleReport(_ context.Context, c *app.RequestContext) {
@@ -34,21 +34,22 @@
 
 func (p *Server) handleInstances(_ context.Context, c *app.RequestContext) {
 	p.instanceCalls.Inc()
-	_, _, code := p.served()
+	_, _, code := p.readConfig()
 	if code != errcode.OK {
 		refuse(c, code)
 		return
 	}
 	p.mu.Lock()
-	list := p.instancesLocked(time.Now().Add(-settings.Duration(p.set.InstanceLagMs)))
+	list := p.instancesLocked(time.Now().Add(-settings.Duration(p.settings.InstanceLagMs)))
 	p.mu.Unlock()
 	c.JSON(200, list)
 }
 
-// instancesLocked replays the reports made up to asOf.
+// instancesLocked returns the instance list that results from the reports made up to asOf.
+// p.mu must be held.
 func (p *Server) instancesLocked(asOf time.Time) wire.InstanceList {
 	rows := map[string]wire.Instance{}
-	for _, e := range p.events {
+	for _, e := range p.instanceReports {
 		if e.at.After(asOf) {
 			break
 		}
@@ -62,38 +63,38 @@
 	return out
 }
 
-// instancePoll is how often a waiting instance watch looks for rows that
-// have become visible past the list's lag.
-const instancePoll = 20 * time.Millisecond
+// instancePollInterval is the interval at which a waiting instance watch checks whether
+// the lag of a report has passed, so that its row has become visible.
+const instancePollInterval = 20 * time.Millisecond
 
-// visibleLocked counts the reports visible at asOf; the count is the
-// list's version, since reports only append.
-func (p *Server) visibleLocked(asOf time.Time) int {
+// visibleReportsLocked returns the number of reports made up to asOf. Since reports are
+// only appended, it also serves as the version of the instance list. p.mu must be held.
+func (p *Server) visibleReportsLocked(asOf time.Time) int {
 	n := 0
-	for n < len(p.events) && !p.events[n].at.After(asOf) {
+	for n < len(p.instanceReports) && !p.instanceReports[n].at.After(asOf) {
 		n++
 	}
 	return n
 }
 
-// handleInstanceWatch answers with the rows reported since version after,
-// as soon as any is visible, or with none at the watch timeout.
+// handleInstanceWatch answers with the rows reported since version after as soon as one is
+// visible, or with no rows after the watch timeout.
 func (p *Server) handleInstanceWatch(ctx context.Context, c *app.RequestContext) {
 	p.instanceCalls.Inc()
-	if p.partitioned(ctx, c) {
+	if p.refuseIfPartitioned(ctx, c) {
 		return
 	}
-	if _, _, code := p.served(); code != errcode.OK {
+	if _, _, code := p.readConfig(); code != errcode.OK {
 		refuse(c, code)
 		return
 	}
 	after, _ := strconv.Atoi(string(c.Query("after")))
 	deadline := time.Now().Add(p.watchTimeout(c))
-	defer p.noteWaiting(after)()
-	tick := time.NewTicker(instancePoll)
+	defer p.trackWaitingWatch(after)()
+	tick := time.NewTicker(instancePollInterval)
 	defer tick.Stop()
 	for {
-		if delta, ok := p.delta(after); ok || time.Now().After(deadline) {
+		if delta, ok := p.instanceDelta(after); ok || time.Now().After(deadline) {
 			c.JSON(200, delta)
 			return
 		}
@@ -105,36 +106,39 @@
 	}
 }
 
-func (p *Server) delta(after int) (wire.InstanceDelta, bool) {
+// instanceDelta returns the rows that became visible after version after and reports
+// whether there are any. For a version that is not known here, it returns all rows.
+func (p *Server) instanceDelta(after int) (wire.InstanceDelta, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	visible := p.visibleLocked(time.Now().Add(-settings.Duration(p.set.InstanceLagMs)))
+	visible := p.visibleReportsLocked(time.Now().Add(-settings.Duration(p.settings.InstanceLagMs)))
 	d := wire.InstanceDelta{Version: int64(visible)}
 	if after < 0 || after > visible {
 		after = 0
 	}
-	for _, e := range p.events[after:visible] {
+	for _, e := range p.instanceReports[after:visible] {
 		d.Rows = append(d.Rows, e.inst)
 	}
 	return d, visible > after
 }
 
-// noteWaiting counts a watch that waits after a version, until the returned function is called.
-func (p *Server) noteWaiting(after int) (done func()) {
+// trackWaitingWatch counts a watch that waits for news after a version of the instance
+// list, until the returned function is called.
+func (p *Server) trackWaitingWatch(after int) (done func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting[after]++
+	p.waitingWatches[after]++
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.waiting[after]--
+		p.waitingWatches[after]--
 	}
 }
 
-// WaitingInstanceWatches is how many watches of the instance list wait for the next report,
-// knowing all reports so far.
+// WaitingInstanceWatches returns the number of open watches of the instance list whose
+// readers have all reports so far and wait for the next one.
 func (p *Server) WaitingInstanceWatches() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting[len(p.events)]
+	return p.waitingWatches[len(p.instanceReports)]
 }
--- a/pkg/standin/configservice/reads.go
+++ b/pkg/standin/configservice/reads.go
@@ -14,10 +14,10 @@
 )
 
 func (p *Server) handleRead(ctx context.Context, c *app.RequestContext) {
-	if p.partitioned(ctx, c) {
+	if p.refuseIfPartitioned(ctx, c) {
 		return
 	}
-	cfg, _, code := p.served()
+	cfg, _, code := p.readConfig()
 	if code != errcode.OK {
 		refuse(c, code)
 		return
@@ -25,21 +25,25 @@
 	c.JSON(200, wire.ConfigReply{Version: cfg.Version, Config: cfg})
 }
 
-// watchTimeout is how long a watch waits: as it asks, and as long as any at most.
+// watchTimeout returns how long a watch waits: the timeout in the request, or the one in
+// the settings if the request has none or a longer one.
 func (p *Server) watchTimeout(c *app.RequestContext) time.Duration {
-	if ms, err := strconv.Atoi(string(c.Query("timeout_ms"))); err == nil && ms > 0 && ms < p.set.WatchTimeoutMs {
+	if ms, err := strconv.Atoi(string(c.Query("timeout_ms"))); err == nil && ms > 0 && ms < p.settings.WatchTimeoutMs {
 		return settings.Duration(ms)
 	}
-	return settings.Duration(p.set.WatchTimeoutMs)
+	return settings.Duration(p.settings.WatchTimeoutMs)
 }
 
+// handleWatch answers as soon as there is a configuration newer than version after, with
+// the patches since then if possible and with the whole configuration otherwise. After the
+// watch timeout it answers with the unchanged version alone.
 func (p *Server) handleWatch(ctx context.Context, c *app.RequestContext) {
-	if p.partitioned(ctx, c) {
+	if p.refuseIfPartitioned(ctx, c) {
 		return
 	}
 	after, _ := strconv.ParseInt(string(c.Query("after")), 10, 64)
 	timeout := p.watchTimeout(c)
-	cfg, changed, code := p.served()
+	cfg, changed, code := p.readConfig()
 	if code != errcode.OK {
 		refuse(c, code)
 		return
@@ -50,9 +54,8 @@
 		select {
 		case <-changed:
 		case <-deadline.C:
-			// Nothing newer: the reader already has this version, and
-			// resending it would cost each node the whole configuration
-			// every watch timeout.
+			// The reader already has this version. Sending the configuration again
+			// would cost each node a transfer of all of it at every watch timeout.
 			c.JSON(200, wire.ConfigReply{Version: cfg.Version})
 			return
 		case <-ctx.Done():
@@ -61,8 +64,8 @@
 		cfg, changed = p.peek()
 	}
 	if changed == nil && cfg.Version <= after {
-		// Stale mode: hold the watch as a real stale service would, then
-		// answer with what it has.
+		// In stale mode the watch waits until its timeout, as with a real stale
+		// replica, and then gets the stale configuration.
 		select {
 		case <-deadline.C:
 		case <-ctx.Done():
@@ -75,29 +78,30 @@
 	c.JSON(200, wire.ConfigReply{Version: cfg.Version, Config: cfg})
 }
 
-// maxPatches bounds a patch reply; a reader further behind gets the whole
-// configuration, which is then the smaller message.
-const maxPatches = 64
+// maxPatchesPerReply is the maximum number of patches in a reply. A reader that is further
+// behind gets the whole configuration, which is then the smaller message.
+const maxPatchesPerReply = 64
 
-// patchesSince returns the patches that take a reader from version after
-// to version to, when the reader's version is one this service accepted
-// and it is not too far behind.
+// patchesSince returns the patches that lead from version after to version to. It reports
+// false if this service does not know version after or if the reader is already at version
+// to or more than maxPatchesPerReply behind it.
 func (p *Server) patchesSince(after, to int64) ([]topology.Patch, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := p.history[0].Version
-	if after < first || to <= after || to-after > maxPatches {
+	if after < first || to <= after || to-after > maxPatchesPerReply {
 		return nil, false
 	}
 	return append([]topology.Patch(nil), p.patches[after-first:to-first]...), true
 }
 
-// peek reads without counting a call: a waiting watch counts once.
+// peek is like readConfig, but neither counts a call nor applies the read rate limit: a
+// waiting watch counts as one call.
 func (p *Server) peek() (*topology.Config, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == ModeStale {
-		return p.stale, nil
+		return p.staleConfig, nil
 	}
 	return p.history[len(p.history)-1], p.changed
 }
--- a/pkg/standin/configservice/server.go
+++ b/pkg/standin/configservice/server.go
@@ -1,8 +1,8 @@
-// Package configservice owns the stand-in for the services that an installation
-// of the project's own only reads: the versioned configuration service (read and
-// watch, capped at a read rate, able to go down or stale) and the list of
-// live and leaving instances, which lags behind reality. Operators' patches
-// reach the configuration service here; entry instances never write to it.
+// Package configservice implements a test double of the platform services that an
+// installation only reads from. These are the versioned configuration service, with reads
+// and watches up to a maximum rate and with the fault modes down and stale, and the list of
+// live and leaving instances, which lags behind their real state. Operators submit patches
+// to the configuration service here; entry instances never write to it.
 package configservice
 
 import (
@@ -22,66 +22,80 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// PathControl takes faults from tests and operators of the stand-in.
+// PathControl is the path at which tests and operators set the fault mode.
 const PathControl = "/control"
 
-// Mode is the configuration service's fault mode.
+// Mode is a fault mode of the configuration service.
 type Mode string
 
-// Fault modes a test can set through the control endpoint.
+// Fault modes.
 const (
 	ModeNormal Mode = "normal"
-	ModeDown   Mode = "down"
-	ModeStale  Mode = "stale"
+	// ModeDown refuses every read and patch.
+	ModeDown Mode = "down"
+	// ModeStale serves an old configuration, like a lagging replica.
+	ModeStale Mode = "stale"
 )
 
-// Control is the body of a control request. StaleVersion, with ModeStale,
-// is the version served; 0 freezes the version current at the switch.
-// CutZones lists availability zones whose readers the service cannot reach
-// (a partition); it is kept across mode changes until set again.
+// Control is the body of a control request. It replaces the fault mode and the list of
+// partitioned zones.
 type Control struct {
-	Mode             Mode     `json:"mode"`
-	StaleVersion     int64    `json:"stale_version,omitempty"`
+	Mode Mode `json:"mode"`
+	// StaleVersion is the version served in ModeStale; 0 means the newest version at the
+	// time of the request.
+	StaleVersion int64 `json:"stale_version,omitempty"`
+	// PartitionedZones lists the availability zones that a network partition separates from
+	// the service: their reads and watches get no answer, in any mode. The plain read of the
+	// instance list is not affected.
 	PartitionedZones []string `json:"cut_zones,omitempty"`
 }
 
-// Server is the platform stand-in.
+// Server is a test double of the platform services.
 type Server struct {
-	set     *settings.Platform
-	srv     *service.Server
-	metrics *metrics.Set
+	settings *settings.Platform
+	srv      *service.Server
+	metrics  *metrics.Set
+	// limiter enforces the read rate.
 	limiter *rate.Limiter
 	mu      sync.Mutex
+	// history holds the accepted configurations, oldest first, with consecutive versions.
 	history []*topology.Config
-	patches []topology.Patch
-	mode    Mode
-	cut     []string
-	stale   *topology.Config
+	// patches holds the patches between the elements of history; patches[i] leads from
+	// history[i] to history[i+1].
+	patches          []topology.Patch
+	mode             Mode
+	partitionedZones []string
+	// staleConfig is the configuration served in ModeStale, and nil in other modes.
+	staleConfig *topology.Config
+	// changed is closed and replaced when a patch is accepted.
 	changed chan struct{}
-	events  []instanceEvent
-	// waiting counts the open watches of the instance list by the version they know.
-	waiting       map[int]int
-	calls         *metrics.Counter
-	instanceCalls *metrics.Counter
-	refused       *metrics.Counter
-	accepted      *metrics.Counter
-	conflict      *metrics.Counter
+	// instanceReports holds the reports of instance states, oldest first.
+	instanceReports []instanceReport
+	// waitingWatches holds the number of open watches of the instance list by the version
+	// that their readers have.
+	waitingWatches  map[int]int
+	calls           *metrics.Counter
+	instanceCalls   *metrics.Counter
+	readsRefused    *metrics.Counter
+	patchesAccepted *metrics.Counter
+	patchesRefused  *metrics.Counter
 }
 
-type instanceEvent struct {
+// instanceReport is the state that an instance reported at a point in time.
+type instanceReport struct {
 	at   time.Time
 	inst wire.Instance
 }
 
-// New builds the stand-in from checked settings.
+// New returns a server that listens but does not serve yet. The settings must be valid.
 func New(s *settings.Platform) (*Server, error) {
 	p := &Server{
-		set:     s,
-		metrics: metrics.NewSet(),
-		limiter: rate.NewLimiter(rate.Limit(s.ReadsPerSecond), s.ReadsPerSecond/10+1),
-		mode:    ModeNormal,
-		changed: make(chan struct{}),
-		waiting: make(map[int]int),
+		settings:       s,
+		metrics:        metrics.NewSet(),
+		limiter:        rate.NewLimiter(rate.Limit(s.ReadsPerSecond), s.ReadsPerSecond/10+1),
+		mode:           ModeNormal,
+		changed:        make(chan struct{}),
+		waitingWatches: make(map[int]int),
 	}
 	initial := s.Configuration.Clone()
 	if initial.Version == 0 {
@@ -90,9 +104,9 @@
 	p.history = []*topology.Config{initial}
 	p.calls = p.metrics.NewCounter("platform_calls_total")
 	p.instanceCalls = p.metrics.NewCounter("platform_instance_calls_total")
-	p.refused = p.metrics.NewCounter("platform_reads_refused_total")
-	p.accepted = p.metrics.NewCounter(`platform_patches_total{result="accepted"}`)
-	p.conflict = p.metrics.NewCounter(`platform_patches_total{result="refused"}`)
+	p.readsRefused = p.metrics.NewCounter("platform_reads_refused_total")
+	p.patchesAccepted = p.metrics.NewCounter(`platform_patches_total{result="accepted"}`)
+	p.patchesRefused = p.metrics.NewCounter(`platform_patches_total{result="refused"}`)
 	srv, err := service.Listen(s.Listen, time.Second, p.metrics, p.State, nil)
 	if err != nil {
 		return nil, err
@@ -116,16 +130,16 @@
 // Start serves in the background.
 func (p *Server) Start() { p.srv.Start() }
 
-// Addr is the bound address.
+// Addr returns the address that the server listens on.
 func (p *Server) Addr() string { return p.srv.Addr() }
 
 // Stop stops serving.
 func (p *Server) Stop(ctx context.Context) error { return p.srv.Stop(ctx) }
 
-// Calls is the number of calls counted so far; a waiting watch counts once.
+// Calls returns the number of calls so far. A watch counts once, however long it waits.
 func (p *Server) Calls() uint64 { return p.calls.Get() }
 
-// InstanceCalls is the part of Calls made to the instance list.
+// InstanceCalls returns the number of calls so far that read or watch the instance list.
 func (p *Server) InstanceCalls() uint64 { return p.instanceCalls.Get() }
 
 // Current returns the newest accepted configuration.
@@ -135,19 +149,21 @@
 	return p.history[len(p.history)-1]
 }
 
-// SetMode switches the fault mode.
+// SetMode replaces the fault mode and the list of partitioned zones.
 func (p *Server) SetMode(c Control) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = c.Mode
-	p.cut = c.PartitionedZones
-	p.stale = nil
+	p.partitionedZones = c.PartitionedZones
+	p.staleConfig = nil
 	if c.Mode == ModeStale {
-		p.stale = p.versionLocked(c.StaleVersion)
+		p.staleConfig = p.configAtLocked(c.StaleVersion)
 	}
 }
 
-func (p *Server) versionLocked(v int64) *topology.Config {
+// configAtLocked returns the configuration with version v, or the newest one if there is
+// none. p.mu must be held.
+func (p *Server) configAtLocked(v int64) *topology.Config {
 	for _, c := range p.history {
 		if c.Version == v {
 			return c
@@ -156,12 +172,13 @@
 	return p.history[len(p.history)-1]
 }
 
-// served returns what a reader sees now, or a result code when the service
-// refuses the read.
-func (p *Server) served() (*topology.Config, <-chan struct{}, errcode.Code) {
+// readConfig counts a call and returns the configuration that a reader gets now and a
+// channel that is closed at the next change, which is nil in ModeStale. If the service
+// refuses the read, it returns the code of the refusal.
+func (p *Server) readConfig() (*topology.Config, <-chan struct{}, errcode.Code) {
 	p.calls.Inc()
 	if !p.limiter.Allow() {
-		p.refused.Inc()
+		p.readsRefused.Inc()
 		return nil, nil, errcode.PlatformRateLimited
 	}
 	p.mu.Lock()
@@ -170,20 +187,21 @@
 	case ModeDown:
 		return nil, nil, errcode.PlatformUnavailable
 	case ModeStale:
-		return p.stale, nil, errcode.OK
+		return p.staleConfig, nil, errcode.OK
 	}
 	return p.history[len(p.history)-1], p.changed, errcode.OK
 }
 
-// partitioned holds a reader of a cut-off zone for the watch timeout and
-// refuses it, as a reader behind a partition sees nothing come back.
-func (p *Server) partitioned(ctx context.Context, c *app.RequestContext) bool {
+// refuseIfPartitioned reports whether the reader is in a partitioned zone. It lets such a
+// reader wait for the watch timeout, as no reply crosses a partition, and then refuses the
+// call.
+func (p *Server) refuseIfPartitioned(ctx context.Context, c *app.RequestContext) bool {
 	zone := string(c.Query("zone"))
 	p.mu.Lock()
-	cut := zone != "" && slices.Contains(p.cut, zone)
+	cut := zone != "" && slices.Contains(p.partitionedZones, zone)
 	p.mu.Unlock()
 	if cut {
-		service.Sleep(ctx, settings.Duration(p.set.WatchTimeoutMs))
+		service.Sleep(ctx, settings.Duration(p.settings.WatchTimeoutMs))
 		refuse(c, errcode.PlatformUnavailable)
 	}
 	return cut
@@ -197,18 +215,18 @@
 	}
 	next, err := p.apply(patch)
 	if err != nil {
-		p.conflict.Inc()
+		p.patchesRefused.Inc()
 		code := errcode.Of(err)
 		c.JSON(code.HTTPStatus(), wire.PatchResult{Code: code, Message: err.Error(), Version: p.Current().Version})
 		return
 	}
-	p.accepted.Inc()
+	p.patchesAccepted.Inc()
 	c.JSON(200, wire.PatchResult{Code: errcode.OK, Version: next.Version})
 }
 
-// apply is the only writer of history. The compare of BaseVersion and the
-// append happen under one lock, so of two patches racing against the same
-// version exactly one is accepted and the other gets PatchConflict.
+// apply accepts a patch and returns the new configuration. It is the only writer of
+// history. It compares BaseVersion and appends under one lock, so that of two concurrent
+// patches to the same version exactly one is accepted and the other gets PatchConflict.
 func (p *Server) apply(patch topology.Patch) (*topology.Config, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,6 +244,7 @@
 	return next, nil
 }
 
+// refuse answers a call with the result code of its refusal.
 func refuse(c *app.RequestContext, code errcode.Code) {
 	c.JSON(code.HTTPStatus(), wire.PatchResult{Code: code, Message: code.Name()})
 }
@@ -240,7 +259,7 @@
 	c.JSON(200, p.State())
 }
 
-// State is the dump served at /debug/state.
+// State returns the state dump served at /debug/state.
 func (p *Server) State() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,12 +271,12 @@
 		Mode:      p.mode,
 		Versions:  versions,
 		Calls:     p.calls.Get(),
-		Refused:   p.refused.Get(),
+		Refused:   p.readsRefused.Get(),
 		Instances: p.instancesLocked(time.Now()),
 	}
 }
 
-// State is the platform stand-in's state dump.
+// State is the state dump of the server.
 type State struct {
 	Mode      Mode              `json:"mode"`
 	Versions  []int64           `json:"versions"`
@@ -266,13 +285,13 @@
 	Instances wire.InstanceList `json:"instances"`
 }
 
-// Submit applies an operator's patch as the patch endpoint does.
+// Submit applies an operator's patch in the same way as the patch endpoint.
 func (p *Server) Submit(patch topology.Patch) (*topology.Config, error) {
 	next, err := p.apply(patch)
 	if err != nil {
-		p.conflict.Inc()
+		p.patchesRefused.Inc()
 		return nil, err
 	}
-	p.accepted.Inc()
+	p.patchesAccepted.Inc()
 	return next, nil
 }
