--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller owns the caller's side of the entry instance's HTTP
-// protocol: a search or hold sent as a client application, and a plain
-// rendering of the answer for people and golden files.
+// Package caller implements a client of the HTTP protocol of entry instances. It sends
+// searches and holds as a client application, and renders answers as text for people and
+// for golden files.
 package caller
 
 import (
@@ -14,46 +14,49 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// Client sends requests as one client application.
+// Client sends requests to entry instances as one client application.
 type Client struct {
 	http  *service.Client
 	appID string
 	key   string
 }
 
-// transportSlack is added to the caller's timeout for the HTTP round trip.
-const transportSlack = time.Second
+// transportAllowance is added to the timeout of a request to allow for the HTTP round trip.
+const transportAllowance = time.Second
 
-// defaultConns is the connection cap of a caller built by New.
-const defaultConns = 64
+// defaultMaxConns is the maximum number of connections to each entry instance of a client
+// that New returns.
+const defaultMaxConns = 64
 
-// New builds a caller for client application appID with its key.
+// New returns a client for client application appID with its key.
 func New(appID, key string) (*Client, error) {
-	return NewWithConns(appID, key, defaultConns)
+	return NewWithConns(appID, key, defaultMaxConns)
 }
 
-// NewWithConns builds a caller that keeps at most conns connections to an
-// entry instance, for load that needs more requests in flight than New's.
-func NewWithConns(appID, key string, conns int) (*Client, error) {
-	h, err := service.NewClient(conns, time.Second)
+// NewWithConns is like New, but sets the maximum number of connections to each entry
+// instance. Load tests use it to have more requests in flight.
+func NewWithConns(appID, key string, maxConns int) (*Client, error) {
+	h, err := service.NewClient(maxConns, time.Second)
 	if err != nil {
 		return nil, err
 	}
 	return &Client{http: h, appID: appID, key: key}, nil
 }
 
+// headers returns the headers that authenticate the client application.
 func (c *Client) headers() map[string]string {
 	return map[string]string{wire.HeaderClientID: c.appID, wire.HeaderClientKey: c.key}
 }
 
-// Search sends req to the entry instance at addr.
+// Search sends a search to the entry instance at addr and returns its answer.
 func (c *Client) Search(ctx context.Context, addr string, req wire.SearchRequest) (wire.Answer, error) {
 	var a wire.Answer
 	_, err := c.http.Do(ctx, "POST", "http://"+addr+entry.PathSearch, c.headers(), req, &a, c.deadline(req.TimeoutMs))
 	return a, err
 }
 
-// Hold sends req to the entry instance at addr with its idempotency key.
+// Hold sends a hold, with its idempotency key, to the entry instance at addr and returns its
+// answer.
 func (c *Client) Hold(ctx context.Context, addr string, req wire.HoldRequest) (wire.Answer, error) {
 	var a wire.Answer
 	h := c.headers()
@@ -62,12 +65,15 @@
 	return a, err
 }
 
+// deadline returns the time until which the client waits for the answer to a request with
+// the given timeout.
 func (c *Client) deadline(timeoutMs int) time.Time {
-	return time.Now().Add(time.Duration(timeoutMs)*time.Millisecond + transportSlack)
+	return time.Now().Add(time.Duration(timeoutMs)*time.Millisecond + transportAllowance)
 }
 
-// Render prints an answer without its request ID, one fact a line, so that
-// two runs of the same session print the same text.
+// Render returns an answer as text: the result on the first line, followed by the covered
+// shards, each missing shard, each hit, the hold and the message. It leaves out the request
+// ID, so that repeated runs of a session give the same text.
 func Render(a wire.Answer) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "code=%s", a.Code)
