--- a/pkg/mutate/mutate.go
+++ b/pkg/mutate/mutate.go
@@ -1,5 +1,6 @@
-// Package mutate makes inputs for tests of decoders: the same ones each time, so that a test
-// run has the same verdict each time. Fresh inputs are drawn by the fuzzer, by hand.
+// Package mutate generates inputs for fuzz tests of decoders. The inputs are the same in each
+// run, so that a test run is deterministic. New random inputs come from the fuzzer, which is
+// run manually.
 package mutate
 
 import (
@@ -8,10 +9,10 @@
 	"testing"
 )
 
-// MutationsPerSeed is how many mutations Add makes of each seed.
+// MutationsPerSeed is the number of mutations of each seed that AddSeeds adds.
 const MutationsPerSeed = 3000
 
-// AddSeeds adds seeds, and deterministic mutations of them, to a fuzz target's inputs.
+// AddSeeds adds seeds and deterministic mutations of them to the corpus of a fuzz target.
 func AddSeeds(f *testing.F, seeds ...[]byte) {
 	f.Helper()
 	for i, seed := range seeds {
@@ -23,20 +24,21 @@
 	}
 }
 
-// stepsMost is how many changes a mutation has at most.
-const stepsMost = 6
+// maxChanges is the maximum number of changes in a mutation.
+const maxChanges = 6
 
-// Bytes returns a mutation of an input: bytes that are changed, dropped, doubled or moved.
+// Bytes returns a mutation of seed, which is not modified. A mutation sets, flips, deletes or
+// duplicates bytes, or truncates the input.
 func Bytes(rng *rand.Rand, seed []byte) []byte {
 	out := slices.Clone(seed)
-	for range 1 + rng.IntN(stepsMost) {
-		out = step(rng, out)
+	for range 1 + rng.IntN(maxChanges) {
+		out = applyChange(rng, out)
 	}
 	return out
 }
 
-// step makes one change.
-func step(rng *rand.Rand, in []byte) []byte {
+// applyChange makes one random change. It may modify in.
+func applyChange(rng *rand.Rand, in []byte) []byte {
 	if len(in) == 0 {
 		return []byte{byte(rng.IntN(256))}
 	}
