--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Measures the slopes behind docs/CAPACITY.md on this machine, with real
-# processes on loopback: entry CPU per query and per leaf (2 to 70 leafs a
-# query), entry memory per request in flight, idle control CPU, platform calls
-# and bytes per node (watches and relay), propagation of a patch.
-# Bounded: 9 processes, a few thousand requests, about two minutes.
+# Measures, on this machine, the rates that docs/CAPACITY.md is based on. The
+# processes communicate over loopback. Measured are the CPU time of the entry
+# instance per query and per leaf (2 to 70 leafs in a query), its memory per
+# request in flight, the CPU time, platform calls and bytes of an idle node
+# (watches and relay), and the propagation time of a patch. The script starts
+# 9 processes, sends a few thousand requests and takes about 2 minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=.bin
@@ -14,15 +15,15 @@
 trap stop EXIT
 base=17300
 "$bin/yokectl" demo --user lipovec --shards 70 --dir "$work" --base-port $base >/dev/null
-# Room for every request in flight: the backend servers' connection limit
-# and the entry's pool must not be what is measured.
+# Raise the limits, so that the connection limit of the backend servers and the
+# connection pool of the entry instance do not affect the measurement.
 sed -i 's/max_conns: .*/max_conns: 16000/; s/^slots: .*/slots: 16000/' "$work"/backend-*.yaml "$work/platform.yaml"
 sed -i 's/^conns_per_backend: .*/conns_per_backend: 2000/; s/^workers: .*/workers: 40000/; s/^max_in_flight: .*/max_in_flight: 2000/' "$work"/entry-*.yaml
 "$bin/yokectl" platform --config "$work/platform.yaml" >>"$work/log" 2>&1 & pids+=($!)
 sleep 0.3
 for f in "$work"/backend-*.yaml; do "$bin/yokectl" backend --config "$f" >>"$work/log" 2>&1 & pids+=($!); done
 for f in "$work"/entry-*.yaml; do "$bin/yoke" serve --config "$f" >>"$work/log" 2>&1 & pids+=($!); done
-entry=${pids[5]} # lj-a-entry-1, the one measured
+entry=${pids[5]} # lj-a-entry-1, the measured entry instance
 sleep 1
 entry_addr=127.0.0.1:$((base + 5))
 platform_addr=127.0.0.1:$base
@@ -31,7 +32,7 @@
 rss() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }                            # KiB
 load() { "$bin/yokectl" load --entry "$entry_addr" --app cad-viewer --key cad-viewer-key --deployment lipovec-vizija "$@"; }
 
-echo "== idle control: entry CPU, platform calls and loopback bytes over 20 s, four entry instances"
+echo "== idle: CPU of an entry instance, platform calls and loopback bytes over 20 s, four entry instances"
 sleep 8
 lo() { awk -F'[: ]+' '$2 == "lo" {print $11}' /proc/net/dev; }   # bytes sent
 b0=$(lo)
@@ -54,7 +55,7 @@
   done
 done
 
-echo "== propagation: patch accepted to in force on the entry instance"
+echo "== propagation: time from submitting a patch until it is in force on the entry instance"
 for v in 1 2 3 4 5; do
   printf 'base_version: %d\nops:\n  - {kind: set_snapshot, deployment: lipovec-vizija, index: viewer-api, snapshot: %d}\n' "$v" $(( v % 2 + 1 )) > "$work/patch.yaml"
   t0=$(date +%s%N)
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Fuzzes each target with fresh inputs. The test command plays a fixed set; this is run by
-# hand before a release. The first argument is how many inputs each target gets.
+# Runs every fuzz target with new random inputs. It is run manually before a release; the test
+# command only runs a fixed set of inputs. The first argument is the number of inputs for each
+# target (default 100000).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 executions=${1:-100000}
