--- a/pkg/demo/combined_faults_test.go
+++ b/pkg/demo/combined_faults_test.go
@@ -92,12 +92,12 @@
 	}
 }
 
-// Guards against invariants that hold under each fault alone but not under several at once:
-// no answer mixes snapshots or callers or misstates its coverage, and no hold runs twice or
-// after a "not run" answer. Searches and holds run through every entry instance under lost
-// replies, concurrent patches, a paused backend server, a stale and an unavailable
-// configuration service, a network partition, a moved shard, a killed backend server,
-// stragglers and a draining backend server.
+// Guards against violations that only a combination of faults causes: an answer that mixes
+// snapshots or callers or misstates its coverage, or a hold that runs twice or after a "not
+// run" answer. Searches and holds run through every entry instance under lost replies,
+// concurrent patches, a paused backend server, a stale and an unavailable configuration
+// service, a network partition, a moved shard, a killed backend server, stragglers and a
+// draining backend server.
 func TestInvariantsHoldUnderCombinedFaults(t *testing.T) {
 	s := newSession(t, Lipovec, func(l *Layout) { l.Platform.WatchTimeoutMs = 200 })
 	dep := DeploymentName(Lipovec)
--- a/pkg/demo/config_test.go
+++ b/pkg/demo/config_test.go
@@ -75,10 +75,10 @@
 	return d
 }
 
-// Guards against an outage of the configuration service that stops serving or loses changes.
-// The service is down for 1 s while v2 is in force, and a patch to v3 follows afterwards.
-// An entry instance fails this if it discards its configuration when a watch fails, or if
-// its watch gives up instead of retrying with backoff.
+// Guards against entry instances that refuse requests during an outage of the configuration
+// service or miss changes after it. The service is down for 1 s while v2 is in force, and a
+// patch to v3 follows. An entry instance must neither discard its configuration when a watch
+// fails nor give up watching; it must retry with backoff.
 func TestPlatformDownServesLastConfig(t *testing.T) {
 	s := newSession(t, Lipovec, func(l *Layout) { l.Platform.WatchTimeoutMs = 100 })
 	dep := DeploymentName(Lipovec)
--- a/pkg/standin/backend/control.go
+++ b/pkg/standin/backend/control.go
@@ -67,7 +67,7 @@
 	Index string `json:"index,omitempty"`
 	// Snapshot is the version that publish adds and drop removes.
 	Snapshot int64 `json:"snapshot,omitempty"`
-	// Zones lists the availability zones cut off by cut.
+	// Zones lists the availability zones whose leaf requests cut drops.
 	Zones []string `json:"zones,omitempty"`
 	// To is the address of the backend server that takes over the shard in hand_off.
 	To string `json:"to,omitempty"`
@@ -96,8 +96,8 @@
 	CrashOn string `json:"end_on,omitempty"`
 }
 
-// shouldSlow decides at random whether one request to shard is slowed: SlowPercent of the
-// requests to the listed shards are.
+// shouldSlow decides at random whether one request to shard is slowed. This applies to
+// SlowPercent of the requests to the shards in SlowShards.
 func (f Faults) shouldSlow(shard string) bool {
 	if len(f.SlowShards) > 0 && !slices.Contains(f.SlowShards, shard) {
 		return false
--- a/pkg/standin/backend/leaf.go
+++ b/pkg/standin/backend/leaf.go
@@ -60,8 +60,9 @@
 	return *prev
 }
 
-// serve runs one leaf request and returns its reply. Every refusal before the request
-// starts to run carries a code for which NotRun is true.
+// serve runs one leaf request and returns its reply. A refusal before the request starts to
+// run carries a code for which NotRun is true, except ShardTimeout for a request whose
+// deadline has already passed.
 func (b *Server) serve(req wire.LeafRequest) wire.LeafResponse {
 	if code := b.admit(req); code != errcode.OK {
 		return refusal(code, b.isDraining())
--- a/pkg/standin/configservice/reads.go
+++ b/pkg/standin/configservice/reads.go
@@ -13,6 +13,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
+// handleRead answers with the current configuration.
 func (p *Server) handleRead(ctx context.Context, c *app.RequestContext) {
 	if p.refuseIfPartitioned(ctx, c) {
 		return
@@ -35,8 +36,8 @@
 }
 
 // handleWatch answers as soon as there is a configuration newer than version after, with
-// the patches since then if possible and with the whole configuration otherwise. After the
-// watch timeout it answers with the unchanged version alone.
+// the patches since that version if possible and with the whole configuration otherwise.
+// If there is none before the watch timeout, it answers with the version alone.
 func (p *Server) handleWatch(ctx context.Context, c *app.RequestContext) {
 	if p.refuseIfPartitioned(ctx, c) {
 		return
