--- a/pkg/cli/bench.go
+++ b/pkg/cli/bench.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return BenchRun{}, err
 	}
-	req := wire.SearchRequest{Deployment: demo.Deployment(wl.user), Index: wl.index, Text: wl.text, TimeoutMs: wl.timeoutMs}
+	req := wire.SearchRequest{Deployment: demo.DeploymentName(wl.user), Index: wl.index, Text: wl.text, TimeoutMs: wl.timeoutMs}
 	addr := c.Entries[c.EntryNames()[0]].Addr()
 	RunLoad(cl, addr, req, requests/10, concurrency, qps)
 	before := totalReceived(c)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -120,7 +120,7 @@
 // FuzzReadResponse checks that no response of a peer crashes the decoder.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte{})
-	mutate.Add(f,
+	mutate.AddSeeds(f,
 		[]byte(`{"version":3}`),
 		[]byte(`{"version":3,"requests":[{"key":[1,2],"ends":[7],"left_ms":9}]}`),
 		[]byte(`{"version":3,"config_gz":"H4sIAAAAAAAA"}`),
