--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -21,7 +21,7 @@
 
 // Options control the pace of calls, each of which is billed, and the handling of outages.
 type Options struct {
-	Pace longpoll.Options
+	LongPoll longpoll.Options
 	// OutageThreshold is how long calls must fail before leafs that are missing afterwards count
 	// as expired because of the outage.
 	OutageThreshold time.Duration
@@ -42,8 +42,8 @@
 	readingChanged chan struct{}
 	// onChange is called when there is news for the peers that listen to this instance.
 	onChange func()
-	// onProof receives the time between successive proofs that the data is up to date.
-	onProof func(time.Duration)
+	// onCurrent receives the time between successive proofs that the data is up to date.
+	onCurrent func(time.Duration)
 
 	// mu guards the cache, and the order of the calls to the sink.
 	mu    sync.Mutex
@@ -70,8 +70,8 @@
 	failures   atomic.Int64
 	unreadable atomic.Int64
 	restores   atomic.Int64
-	// provenAt is the time up to which all that the store published is known.
-	provenAt atomic.Pointer[time.Time]
+	// currentAsOf is the time up to which all that the store published is known.
+	currentAsOf atomic.Pointer[time.Time]
 	// answeredAt is when the store last answered this instance itself; confirmedAt is when it
 	// last answered this one or an instance that it listens to.
 	answeredAt, confirmedAt atomic.Pointer[time.Time]
@@ -92,7 +92,7 @@
 // Age returns the staleness of the data, that is the time since it was last proven to be up to
 // date. It is 0 before anything is known.
 func (f *Follower) Age(now time.Time) time.Duration {
-	at := f.provenAt.Load()
+	at := f.currentAsOf.Load()
 	if at == nil {
 		return 0
 	}
@@ -102,9 +102,9 @@
 // NewFollower returns a follower that has not read anything yet.
 func NewFollower(source Source, sink Sink, opts Options, log *oplog.Log) *Follower {
 	f := &Follower{
-		pacer:  longpoll.New(opts.Pace, rand.Float64),
+		pacer:  longpoll.New(opts.LongPoll, rand.Float64),
 		source: source, sink: sink, opts: opts, log: log,
-		cache: feed.NewCache(), readingChanged: make(chan struct{}, 1), onChange: func() {}, onProof: func(time.Duration) {},
+		cache: feed.NewCache(), readingChanged: make(chan struct{}, 1), onChange: func() {}, onCurrent: func(time.Duration) {},
 	}
 	f.reading.Store(true)
 	f.position.Store(&feed.Position{})
@@ -143,7 +143,7 @@
 // step makes the next call or listing and returns how long to pause afterwards.
 func (f *Follower) step(ctx context.Context) time.Duration {
 	began := time.Now()
-	if f.needsListing.Load() || !f.HasSnapshot() {
+	if f.needsListing.Load() || !f.Synced() {
 		if err := f.list(ctx); err != nil {
 			return f.recordFailure(ctx, call{kind: "list", began: began}, err)
 		}
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 		Wait: time.Second, ProbeWait: time.Millisecond, CoalesceDelay: pauseAfterChanges, Timeout: time.Second, RetryTimeout: time.Second,
 		MinBackoff: 100 * time.Millisecond, MaxBackoff: 400 * time.Millisecond,
 	}
-	f := NewFollower(s, r, Options{Pace: pace}, log)
+	f := NewFollower(s, r, Options{LongPoll: pace}, log)
 	f.pacer = longpoll.New(pace, func() float64 { return 1 }) // Selects the longest of the randomised times.
 	return f, r
 }
--- a/pkg/discovery/listing.go
+++ b/pkg/discovery/listing.go
@@ -40,7 +40,7 @@
 // readPages reads the pages of a listing and returns the position of the store at the first one.
 func (f *Follower) readPages(ctx context.Context) (at feed.Position, events []Event, err error) {
 	for first, next := true, ""; first || next != ""; first = false {
-		callCtx, cancel := context.WithTimeout(ctx, f.opts.Pace.RetryTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, f.opts.LongPoll.RetryTimeout)
 		page, err := f.source.List(callCtx, next)
 		cancel()
 		if err != nil {
--- a/pkg/discovery/peerfeed.go
+++ b/pkg/discovery/peerfeed.go
@@ -17,9 +17,9 @@
 // called before Run.
 func (f *Follower) OnChange(onChange func()) { f.onChange = onChange }
 
-// OnProof sets a function that receives, each time the data is proven to be up to date, the time
+// OnCurrent sets a function that receives, each time the data is proven to be up to date, the time
 // since the previous proof. It must be called before Run.
-func (f *Follower) OnProof(onProof func(time.Duration)) { f.onProof = onProof }
+func (f *Follower) OnCurrent(onCurrent func(time.Duration)) { f.onCurrent = onCurrent }
 
 // ChangesSince returns what changed after a position.
 func (f *Follower) ChangesSince(after feed.Position) feed.Update {
@@ -28,8 +28,8 @@
 	return f.cache.Since(after, time.Now())
 }
 
-// HasSnapshot reports whether this instance has everything that is published, from any source.
-func (f *Follower) HasSnapshot() bool {
+// Synced reports whether this instance has everything that is published, from any source.
+func (f *Follower) Synced() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cache.Synced()
@@ -41,8 +41,8 @@
 // MarkCurrent records that this instance knows everything that the store had published at a time,
 // according to a peer.
 func (f *Follower) MarkCurrent(at time.Time) {
-	if was, advanced := advanceTime(&f.provenAt, at); advanced && was != nil {
-		f.onProof(at.Sub(*was))
+	if was, advanced := advanceTime(&f.currentAsOf, at); advanced && was != nil {
+		f.onCurrent(at.Sub(*was))
 	}
 }
 
@@ -117,14 +117,14 @@
 	}
 	// The previous readers could not read the store or are gone, and this instance takes over. If
 	// that was an outage, leafs that vanished during it may merely have expired.
-	f.lastSuccess = loadTime(&f.provenAt)
+	f.lastSuccess = loadTime(&f.currentAsOf)
 	if !f.lastSuccess.IsZero() && time.Since(f.lastSuccess) >= f.opts.OutageThreshold {
 		f.failingSince = f.lastSuccess
 	}
 }
 
-// ApplyPage applies an update that a peer has sent.
-func (f *Follower) ApplyPage(u feed.Update) error {
+// ApplyUpdate applies an update that a peer has sent.
+func (f *Follower) ApplyUpdate(u feed.Update) error {
 	if err := u.Validate(); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 func (f *Follower) Sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	expired := f.cache.ExpireHeld(now, f.opts.LostEntryGrace, f.newestConfig.Item.Key)
+	expired := f.cache.ExpireLost(now, f.opts.LostEntryGrace, f.newestConfig.Item.Key)
 	if len(expired) == 0 {
 		return
 	}
--- a/pkg/discovery/peerfeed_test.go
+++ b/pkg/discovery/peerfeed_test.go
@@ -31,8 +31,8 @@
 	f.SetReading(false, longpoll.PeerGroup{})
 	changes := 0
 	f.OnChange(func() { changes++ })
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: at(9), Items: []feed.Item{peerEntry("a", 3), peerEntry("config", 9)}}))
-	require.NoError(t, f.ApplyPage(feed.Update{From: at(9), To: at(11), Items: []feed.Item{peerEntry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: at(9), Items: []feed.Item{peerEntry("a", 3), peerEntry("config", 9)}}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{From: at(9), To: at(11), Items: []feed.Item{peerEntry("b", 10), {Key: "a", At: at(11), Deleted: true}}}))
 	require.ElementsMatch(t, []string{"leaf a", "config", "listed", "leaf b", "gone a"}, r.calls)
 	require.Equal(t, 2, changes, "listeners are notified")
 	f.SetReading(true, longpoll.PeerGroup{})
@@ -50,9 +50,9 @@
 	}
 	f, r := newTestFollower(s)
 	f.step(context.Background())
-	require.NoError(t, f.ApplyPage(feed.Update{From: at(5), To: at(6), Items: []feed.Item{peerEntry("b", 6)}}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{From: at(5), To: at(6), Items: []feed.Item{peerEntry("b", 6)}}))
 	f.step(context.Background())
-	require.NoError(t, f.ApplyPage(feed.Update{From: at(5), To: at(7), Items: []feed.Item{peerEntry("a", 3), peerEntry("b", 6)}}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{From: at(5), To: at(7), Items: []feed.Item{peerEntry("a", 3), peerEntry("b", 6)}}))
 	require.Equal(t, []string{"leaf a", "listed", "leaf b"}, r.calls)
 }
 
@@ -62,7 +62,7 @@
 	s := &scriptedSource{}
 	f, r := newTestFollower(s)
 	s.onList = func() {
-		require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: at(8), Items: []feed.Item{peerEntry("a", 3), peerEntry("new", 8)}}))
+		require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: at(8), Items: []feed.Item{peerEntry("a", 3), peerEntry("new", 8)}}))
 	}
 	s.lists = []Page{{Events: []Event{storeEvent("a", 3)}, At: at(5)}}
 	f.step(context.Background())
@@ -81,27 +81,27 @@
 			watches: []func() (Page, error){emptyWatch},
 		}
 		f, r := newTestFollower(s)
-		require.NoError(t, f.ApplyPage(bad))
+		require.NoError(t, f.ApplyUpdate(bad))
 		require.Zero(t, f.step(context.Background()))
-		require.False(t, f.HasSnapshot())
+		require.False(t, f.Synced())
 		f.step(context.Background())
 		require.Equal(t, at(12), f.Position())
 		require.Equal(t, map[string]bool{"b": true}, r.listing.Leafs)
 	})
 	t.Run("contradicted by a peer", func(t *testing.T) {
 		f, r := newTestFollower(&scriptedSource{})
-		require.NoError(t, f.ApplyPage(bad))
+		require.NoError(t, f.ApplyUpdate(bad))
 		require.False(t, f.ResetIfContradicted(at(12), time.Now()), "the answer may be older")
 		require.False(t, f.ResetIfContradicted(at(900), time.Now().Add(time.Minute)))
 		require.True(t, f.ResetIfContradicted(at(12), time.Now().Add(time.Minute)))
-		require.False(t, f.HasSnapshot())
-		require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: at(12), Items: []feed.Item{peerEntry("c", 12)}}))
+		require.False(t, f.Synced())
+		require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: at(12), Items: []feed.Item{peerEntry("c", 12)}}))
 		require.Equal(t, at(12), f.Position())
 		require.Equal(t, map[string]bool{"c": true}, r.listing.Leafs, "a leaf that is no longer listed is out of use")
 	})
 	f, _ := newTestFollower(&scriptedSource{})
-	require.ErrorIs(t, f.ApplyPage(feed.Update{Full: true, To: at(1 << 60)}), feed.ErrInvalidPosition)
-	require.False(t, f.HasSnapshot())
+	require.ErrorIs(t, f.ApplyUpdate(feed.Update{Full: true, To: at(1 << 60)}), feed.ErrInvalidPosition)
+	require.False(t, f.Synced())
 }
 
 // Guards against dropping live leafs when the store recovers. It was unavailable for so long that
@@ -109,14 +109,14 @@
 // that could not read the store.
 func TestStoreRecoveryIsLearnedFromPeers(t *testing.T) {
 	f, r := newTestFollower(&scriptedSource{})
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: at(3), RecoveredMsAgo: 40}))
-	require.NoError(t, f.ApplyPage(feed.Update{From: at(3), To: at(4), RecoveredMsAgo: 90}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: at(3), RecoveredMsAgo: 40}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{From: at(3), To: at(4), RecoveredMsAgo: 90}))
 	require.Equal(t, []string{"returned", "listed"}, r.calls)
 
 	s := &scriptedSource{watches: []func() (Page, error){emptyWatch}}
 	f, r = newTestFollower(s)
 	f.SetReading(false, longpoll.PeerGroup{})
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: at(3)}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: at(3)}))
 	f.MarkCurrent(time.Now().Add(-time.Minute))
 	f.SetReading(true, longpoll.PeerGroup{})
 	f.waitUntilReading(context.Background())
--- a/pkg/discovery/restore_test.go
+++ b/pkg/discovery/restore_test.go
@@ -50,7 +50,7 @@
 			f.step(context.Background())
 			f.step(context.Background())
 			require.Equal(t, at(10), f.Position(), "the known entries stay in use")
-			require.True(t, f.HasSnapshot())
+			require.True(t, f.Synced())
 			f.step(context.Background())
 			require.Equal(t, atEra(1, 8), f.Position())
 			require.Equal(t, []string{"listed", "returned", "leaf b", "listed"}, r.calls)
@@ -74,7 +74,7 @@
 	f.step(context.Background())
 	f.step(context.Background())
 	require.Equal(t, map[string]bool{"a": true, "b": true}, r.listing.Leafs)
-	require.NoError(t, f.ApplyPage(feed.Update{From: atEra(1, 8), To: atEra(1, 9), Items: []feed.Item{eraEvent("a", 1, 9).Item}}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{From: atEra(1, 8), To: atEra(1, 9), Items: []feed.Item{eraEvent("a", 1, 9).Item}}))
 	r.calls = nil
 	f.Sweep(time.Now())
 	require.Empty(t, r.calls)
@@ -125,7 +125,7 @@
 	defer stop()
 	go f.Run(ctx)
 	require.Equal(t, at(10), <-source.watchStarted)
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: atEra(1, 8)}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: atEra(1, 8)}))
 	require.ErrorIs(t, <-source.watchEnded, context.Canceled)
 	require.Equal(t, atEra(1, 8), <-source.watchStarted)
 	stop()
@@ -170,10 +170,10 @@
 // Guards against applying peer updates that leave a gap or belong to an ended era.
 func TestInapplicablePeerUpdatesAreRejected(t *testing.T) {
 	f, r := newTestFollower(&scriptedSource{})
-	require.ErrorIs(t, f.ApplyPage(feed.Update{From: at(3), To: at(4)}), feed.ErrGap)
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: atEra(1, 8)}))
-	require.ErrorIs(t, f.ApplyPage(feed.Update{From: atEra(1, 9), To: atEra(1, 10), Items: []feed.Item{eraEvent("x", 1, 10).Item}}), feed.ErrGap)
-	require.ErrorIs(t, f.ApplyPage(feed.Update{Full: true, To: at(90), Items: []feed.Item{peerEntry("x", 90)}}), feed.ErrStaleEra)
+	require.ErrorIs(t, f.ApplyUpdate(feed.Update{From: at(3), To: at(4)}), feed.ErrGap)
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: atEra(1, 8)}))
+	require.ErrorIs(t, f.ApplyUpdate(feed.Update{From: atEra(1, 9), To: atEra(1, 10), Items: []feed.Item{eraEvent("x", 1, 10).Item}}), feed.ErrGap)
+	require.ErrorIs(t, f.ApplyUpdate(feed.Update{Full: true, To: at(90), Items: []feed.Item{peerEntry("x", 90)}}), feed.ErrStaleEra)
 	require.Equal(t, atEra(1, 8), f.Position())
 	require.Equal(t, []string{"listed"}, r.calls)
 }
@@ -182,7 +182,7 @@
 // keeping data of an era that the store never had.
 func TestPositionsAreContradictedByEraFirst(t *testing.T) {
 	f, _ := newTestFollower(&scriptedSource{})
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: atEra(1, 8)}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: atEra(1, 8)}))
 	later := time.Now().Add(time.Minute)
 	require.False(t, f.ResetIfContradicted(atEra(2, 3), later))
 	require.True(t, f.ResetIfContradicted(atEra(0, 900), later))
@@ -194,7 +194,7 @@
 	var f *Follower
 	s := &scriptedSource{lists: []Page{{At: at(10)}}}
 	late := func() (Page, error) {
-		require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: atEra(1, 8)}))
+		require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: atEra(1, 8)}))
 		return Page{At: at(12), Events: []Event{eraEvent("late", 0, 12)}}, nil
 	}
 	s.watches = []func() (Page, error){late, func() (Page, error) { return Page{At: atEra(1, 8)}, nil }}
@@ -218,7 +218,7 @@
 	f, r := newTestFollower(s)
 	f.opts.OutageThreshold = time.Minute
 	require.NotZero(t, f.step(context.Background()))
-	require.False(t, f.HasSnapshot())
+	require.False(t, f.Synced())
 	f.step(context.Background())
 	require.Equal(t, []string{"leaf b", "listed"}, r.calls)
 }
@@ -231,9 +231,9 @@
 		watches: []func() (Page, error){func() (Page, error) { return Page{At: atEra(1, 12)}, nil }},
 	}
 	f, r := newTestFollower(s)
-	require.NoError(t, f.ApplyPage(feed.Update{Full: true, To: atEra(900, 1), Items: []feed.Item{eraEvent("a", 900, 1).Item}}))
+	require.NoError(t, f.ApplyUpdate(feed.Update{Full: true, To: atEra(900, 1), Items: []feed.Item{eraEvent("a", 900, 1).Item}}))
 	f.step(context.Background())
-	require.False(t, f.HasSnapshot())
+	require.False(t, f.Synced())
 	f.step(context.Background())
 	require.Equal(t, atEra(1, 12), f.Position())
 	require.Equal(t, map[string]bool{"b": true}, r.listing.Leafs)
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -167,7 +167,7 @@
 func (e *Entry) Stop(ctx context.Context) error {
 	e.state.Store(stateLeaving)
 	e.log.Info("leaving")
-	service.Sleep(ctx, settings.Duration(e.settings.DrainGraceMs))
+	service.Sleep(ctx, settings.Duration(e.settings.LameDuckMs))
 	e.state.Store(stateStopping)
 	for e.gateway.InFlight() > 0 && ctx.Err() == nil {
 		service.Sleep(ctx, 5*time.Millisecond)
--- a/pkg/entry/leafclient.go
+++ b/pkg/entry/leafclient.go
@@ -71,7 +71,7 @@
 	// results in this answer, so it is rejected and counted.
 	if resp.RequestID != req.RequestID || resp.Shard != req.Shard || resp.Snapshot != req.Snapshot {
 		c.stats.mismatchedReplies.Inc()
-		return gateway.LeafReply{Outcome: replica.Broken, Err: errReplyMismatch}
+		return gateway.LeafReply{Outcome: replica.ReplyLost, Err: errReplyMismatch}
 	}
 	reply := gateway.LeafReply{Outcome: outcomeForCode(resp.Code), Status: int(resp.Code), Content: &resp}
 	if load := resp.Load; load != nil {
@@ -103,9 +103,9 @@
 	case !time.Now().Before(call.Deadline):
 		return replica.TimedOut
 	case sock.RefusesConnections(ctx, call.Leaf.Addr, sock.RefusalTimeout):
-		return replica.ProcessExited
+		return replica.LeafCrashed
 	}
-	return replica.Broken
+	return replica.ReplyLost
 }
 
 // outcomeForCode returns the outcome that corresponds to a leaf's result code.
--- a/pkg/entry/plan_test.go
+++ b/pkg/entry/plan_test.go
@@ -63,7 +63,7 @@
 		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: refused}, errcode.ShardNotHosted},
 		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.NotSent}}, errcode.ShardUnavailable},
 		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.NotSent, Err: gateway.ErrNoWorker}}, errcode.EntryOverloaded},
-		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.Broken, Err: errReplyMismatch}}, errcode.ShardFailed},
+		{gateway.ShardAnswer{MissingReason: fanout.Failed, LastFailure: &gateway.LeafReply{Outcome: replica.ReplyLost, Err: errReplyMismatch}}, errcode.ShardFailed},
 	} {
 		code, reason := missingReason(&tc.shard)
 		require.Equal(t, tc.want, code)
--- a/pkg/entry/secondrequests.go
+++ b/pkg/entry/secondrequests.go
@@ -40,7 +40,7 @@
 // for every shard until the caller's deadline, because a caller of this API states its
 // timeout and learns from the answer which shards are missing.
 func gatewayOptions(s *settings.Entry) gateway.Options {
-	fanoutOptions := fanout.Options{AnswerMargin: answerMargin, MinHedgeDelay: settings.Duration(s.HedgeMinMs)}
+	fanoutOptions := fanout.Options{AnswerMargin: answerMargin, MinHedgeDelay: settings.Duration(s.MinHedgeDelayMs)}
 	if s.Policy == settings.PolicyHedged {
 		fanoutOptions.HedgeTypicalFactor = hedgeMedianFactor
 	}
--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -103,7 +103,7 @@
 		service := q.route.Shards[i]
 		p, v := q.table.Place(service, q.route.Name, nil, now)
 		placements[i] = shardPlacement{shard: i, placement: p}
-		q.shards[i].verdict = v
+		q.shards[i].placeResult = v
 		q.shards[i].excluded = v != replica.Placed
 		switch v {
 		case replica.Placed:
@@ -236,7 +236,7 @@
 	requests := make([]Request, 0, len(placements))
 	for _, p := range placements {
 		s := &q.shards[p.shard]
-		if s.excluded || s.verdict != replica.Placed {
+		if s.excluded || s.placeResult != replica.Placed {
 			continue
 		}
 		requests = q.send(requests, p.shard, p.placement, ReasonFirst, now)
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -115,8 +115,8 @@
 	// excluded means that no further request is sent for this shard, unless askExcluded takes it
 	// back in.
 	excluded bool
-	// verdict is the result of the last search for a leaf.
-	verdict replica.Verdict
+	// placeResult is the result of the last search for a leaf.
+	placeResult replica.PlaceResult
 	// nextCheck is the time at which a further request is considered; zero means never.
 	nextCheck time.Time
 }
@@ -147,7 +147,7 @@
 	// that the query was ended because of that.
 	startWithTrial, inTrial, givenUp bool
 	suspectService                   string
-	leafsEnded                       int
+	leafsCrashed                     int
 
 	start          time.Time
 	requiredShards int
--- a/pkg/fanout/fanout_test.go
+++ b/pkg/fanout/fanout_test.go
@@ -156,8 +156,8 @@
 	q, _ := twoShardQuery()
 	startAll(t, q)
 	for i := range 2 {
-		require.Len(t, q.HandleReply(i, 0, replica.Broken, at(5)), 1, "the other leaf is asked as a retry")
-		require.Empty(t, q.HandleReply(i, 1, replica.Broken, at(9)))
+		require.Len(t, q.HandleReply(i, 0, replica.ReplyLost, at(5)), 1, "the other leaf is asked as a retry")
+		require.Empty(t, q.HandleReply(i, 1, replica.ReplyLost, at(9)))
 	}
 	require.True(t, q.MayHaveRun())
 	require.Empty(t, q.Tick(at(1500)), "the budget is used up")
@@ -171,7 +171,7 @@
 		table.Remove(id, at(3))
 	}
 	for i := range 2 {
-		require.Empty(t, q.HandleReply(i, 0, replica.Broken, at(5)))
+		require.Empty(t, q.HandleReply(i, 0, replica.ReplyLost, at(5)))
 	}
 	require.Equal(t, Insufficient, q.State(at(5)))
 }
@@ -198,7 +198,7 @@
 	require.Equal(t, Overloaded, q.ShardStatus(0))
 	table.Remove("b0", at(2001))
 	table.Remove("b1", at(2001))
-	requests = q.HandleReply(1, 0, replica.Broken, at(2010))
+	requests = q.HandleReply(1, 0, replica.ReplyLost, at(2010))
 	require.Len(t, requests, 1)
 	require.Equal(t, ReasonFirst, requests[0].Reason, "a first request does not use the budget")
 	require.Equal(t, at(5000), requests[0].Deadline, "a reply after the target is still useful")
@@ -308,7 +308,7 @@
 	q, _ := twoShardQuery()
 	startAll(t, q)
 	q.HandleReply(0, 0, replica.Answered, at(10))
-	require.Empty(t, q.HandleReply(0, 0, replica.Broken, at(11)), "a request has only one outcome")
+	require.Empty(t, q.HandleReply(0, 0, replica.ReplyLost, at(11)), "a request has only one outcome")
 	require.Equal(t, 1, q.CoveredShards())
 }
 
--- a/pkg/fanout/progress.go
+++ b/pkg/fanout/progress.go
@@ -13,7 +13,7 @@
 	s := &q.shards[i]
 	call := q.table.Begin(p, q.route.Name, now)
 	if call == nil {
-		s.verdict = replica.AllBusy
+		s.placeResult = replica.AllBusy
 		s.nextCheck = now.Add(busyCheckInterval)
 		return requests
 	}
@@ -71,8 +71,8 @@
 	if !outcome.NotRun() {
 		q.mayHaveRun = true
 	}
-	if outcome == replica.ProcessExited {
-		q.recordLeafEnd()
+	if outcome == replica.LeafCrashed {
+		q.recordLeafCrash()
 	}
 	if outcome == replica.Answered && !s.covered {
 		if q.suspected() {
@@ -118,7 +118,7 @@
 // yet, as long as the route allows more leafs. A query that has missed its target may ask the
 // same leafs again, so that a leaf that refused because it was full, or that paused, can still be
 // used.
-func (q *Query) placeSecond(s *shard, service string, now time.Time) (replica.Placement, replica.Verdict) {
+func (q *Query) placeSecond(s *shard, service string, now time.Time) (replica.Placement, replica.PlaceResult) {
 	if len(s.attempts) >= MaxRequestsPerShard {
 		return replica.Placement{}, replica.NoLeaf
 	}
@@ -147,7 +147,7 @@
 func (q *Query) sendFirst(requests []Request, i int, now time.Time) []Request {
 	s := &q.shards[i]
 	p, v := q.table.Place(q.route.Shards[i], q.route.Name, nil, now)
-	s.verdict = v
+	s.placeResult = v
 	switch v {
 	case replica.Placed:
 		return q.send(requests, i, p, ReasonFirst, now)
--- a/pkg/fanout/state.go
+++ b/pkg/fanout/state.go
@@ -106,13 +106,13 @@
 		return Unanswered
 	case len(s.attempts) > 0:
 		return Failed
-	case q.givenUp && s.verdict == replica.Placed:
+	case q.givenUp && s.placeResult == replica.Placed:
 		return Withheld
-	case s.verdict == replica.Placed:
+	case s.placeResult == replica.Placed:
 		return Overloaded
-	case s.verdict == replica.AllBusy:
+	case s.placeResult == replica.AllBusy:
 		return AllBusy
-	case s.verdict == replica.AllDown:
+	case s.placeResult == replica.AllDown:
 		return AllDown
 	}
 	return NoLeaf
--- a/pkg/fanout/trial.go
+++ b/pkg/fanout/trial.go
@@ -12,9 +12,9 @@
 // its second requests; the index is then unavailable for seconds. Harmless queries that were
 // merely in flight at the same leafs are distinguished from it by a leaf that answers them.
 
-// maxLeafsEnded is the number of ended leafs at which a query that no leaf has answered is given
+// maxLeafsCrashed is the number of ended leafs at which a query that no leaf has answered is given
 // up. Its requests waiting in the queues of other leafs are then cancelled.
-const maxLeafsEnded = 3
+const maxLeafsCrashed = 3
 
 // startTrial sends the query to a single leaf, preferably of the suspected shard. The other
 // shards are asked once that leaf has answered.
@@ -35,7 +35,7 @@
 func (q *Query) trialShard(placements []shardPlacement) int {
 	first := 0
 	for i := len(placements) - 1; i >= 0; i-- {
-		if q.shards[i].verdict != replica.Placed {
+		if q.shards[i].placeResult != replica.Placed {
 			continue
 		}
 		first = i
@@ -94,12 +94,12 @@
 // has answered it yet. No second requests are sent in this state. For a harmless query it lasts
 // some milliseconds, until the first reply of any shard; for one that crashes its leafs it does
 // not end.
-func (q *Query) suspected() bool { return q.leafsEnded > 0 && q.coveredShards == 0 }
+func (q *Query) suspected() bool { return q.leafsCrashed > 0 && q.coveredShards == 0 }
 
-// recordLeafEnd records that a leaf ended while it had a request of the query.
-func (q *Query) recordLeafEnd() {
-	q.leafsEnded++
-	if q.suspected() && q.leafsEnded >= maxLeafsEnded {
+// recordLeafCrash records that a leaf ended while it had a request of the query.
+func (q *Query) recordLeafCrash() {
+	q.leafsCrashed++
+	if q.suspected() && q.leafsCrashed >= maxLeafsCrashed {
 		q.givenUp = true
 	}
 }
@@ -123,8 +123,8 @@
 	return false
 }
 
-// LeafsEnded returns the number of leafs that ended while they had a request of the query.
-func (q *Query) LeafsEnded() int { return q.leafsEnded }
+// LeafsCrashed returns the number of leafs that ended while they had a request of the query.
+func (q *Query) LeafsCrashed() int { return q.leafsCrashed }
 
 // GiveUp ends the query because it is known to crash leafs.
 func (q *Query) GiveUp() { q.givenUp = true }
--- a/pkg/fanout/trial_test.go
+++ b/pkg/fanout/trial_test.go
@@ -32,36 +32,36 @@
 // Guards against a query that crashes 20 leafs. Its first requests ended one leaf of each shard;
 // the query then sent its second requests to the other leafs of these shards, as after any
 // failure, and ended these, too. No leaf had answered it.
-func TestNoSecondRequestsAfterLeafsEndedBeforeFirstReply(t *testing.T) {
+func TestNoSecondRequestsAfterLeafsCrashedBeforeFirstReply(t *testing.T) {
 	q := tenShardQuery(Params{})
 	requests, refusal := q.Start(epoch)
 	require.Nil(t, refusal)
 	require.Len(t, requests, 10)
-	require.Empty(t, q.HandleReply(0, 0, replica.ProcessExited, at(10)))
-	require.Empty(t, q.HandleReply(1, 0, replica.ProcessExited, at(11)))
+	require.Empty(t, q.HandleReply(0, 0, replica.LeafCrashed, at(10)))
+	require.Empty(t, q.HandleReply(1, 0, replica.LeafCrashed, at(11)))
 	require.Empty(t, q.Tick(at(150)), "no hedged requests either")
 	require.Equal(t, Running, q.State(at(150)))
-	require.Empty(t, q.HandleReply(2, 0, replica.ProcessExited, at(151)))
+	require.Empty(t, q.HandleReply(2, 0, replica.LeafCrashed, at(151)))
 	require.Equal(t, Insufficient, q.State(at(151)), "the third ended leaf ends the query")
 	require.True(t, q.GivenUp())
 	require.True(t, q.InFlight(), "requests at the other leafs are still to be cancelled")
-	require.Empty(t, q.HandleReply(3, 0, replica.Broken, at(152)))
+	require.Empty(t, q.HandleReply(3, 0, replica.ReplyLost, at(152)))
 	require.Empty(t, q.Tick(at(200)))
 }
 
 // A harmless query that is in flight at the same leafs gets replies from others. The first reply
 // lets it send second requests for the shards whose leafs ended, at once.
-func TestFirstReplyReleasesSecondRequestsAfterLeafsEnded(t *testing.T) {
+func TestFirstReplyReleasesSecondRequestsAfterLeafsCrashed(t *testing.T) {
 	q := tenShardQuery(Params{})
 	q.Start(epoch)
-	q.HandleReply(0, 0, replica.ProcessExited, at(10))
-	q.HandleReply(1, 0, replica.ProcessExited, at(11))
+	q.HandleReply(0, 0, replica.LeafCrashed, at(10))
+	q.HandleReply(1, 0, replica.LeafCrashed, at(11))
 	q.HandleReply(2, 0, replica.Answered, at(12))
 	require.False(t, q.NextCheck(at(12)).After(at(12)))
 	requests := q.Tick(at(12))
 	require.Len(t, requests, 2)
 	require.Equal(t, ReasonRetry, requests[0].Reason)
-	require.Len(t, q.HandleReply(3, 0, replica.ProcessExited, at(13)), 1, "after a reply, retries are sent at once")
+	require.Len(t, q.HandleReply(3, 0, replica.LeafCrashed, at(13)), 1, "after a reply, retries are sent at once")
 	for i := 4; i < 10; i++ {
 		q.HandleReply(i, 0, replica.Answered, at(20))
 	}
@@ -82,7 +82,7 @@
 		ran     bool
 	}{
 		{replica.Answered, 9, Running, true},
-		{replica.ProcessExited, 0, Insufficient, true},
+		{replica.LeafCrashed, 0, Insufficient, true},
 		{replica.Refused, 0, Insufficient, false},
 		{replica.TimedOut, 0, Insufficient, true},
 		{replica.NotSent, 1, Running, false},
--- a/pkg/feed/cache.go
+++ b/pkg/feed/cache.go
@@ -92,9 +92,9 @@
 	// synced means that the cache holds all entries as of some position.
 	synced      bool
 	recoveredAt time.Time
-	// hasHeld means that there may be entries of an era that has ended. The restored store has
+	// hasLost means that there may be entries of an era that has ended. The restored store has
 	// lost them, and they are held for a while so that their writers can write them again.
-	hasHeld bool
+	hasLost bool
 }
 
 // NewCache returns an empty cache.
@@ -191,7 +191,7 @@
 		switch {
 		case it.Deleted:
 		case it.At.Era < u.To.Era:
-			c.hasHeld = true
+			c.hasLost = true
 		case !listed[key] && !it.At.After(u.To):
 			out = append(out, c.delete(key, u.To))
 		}
@@ -207,13 +207,13 @@
 	return deletion
 }
 
-// ExpireHeld deletes the entries that are still held when the grace period for writing them again
+// ExpireLost deletes the entries that are still held when the grace period for writing them again
 // is over, and returns their tombstones. The entry under keptKey stays until it is replaced.
-func (c *Cache) ExpireHeld(now time.Time, grace time.Duration, keptKey string) []Item {
-	if !c.hasHeld || now.Sub(c.recoveredAt) < grace {
+func (c *Cache) ExpireLost(now time.Time, grace time.Duration, keptKey string) []Item {
+	if !c.hasLost || now.Sub(c.recoveredAt) < grace {
 		return nil
 	}
-	c.hasHeld = false
+	c.hasLost = false
 	var out []Item
 	for key, it := range c.items {
 		if !it.Deleted && it.At.Era < c.position.Era && key != keptKey {
@@ -249,7 +249,7 @@
 // Since returns what changed after a position, or a snapshot if the changes are not known.
 func (c *Cache) Since(after Position, now time.Time) Update {
 	u := Update{From: after, To: c.position}
-	if !c.recoveredAt.IsZero() && (c.hasHeld || now.Sub(c.recoveredAt) < recoveryNoticePeriod) {
+	if !c.recoveredAt.IsZero() && (c.hasLost || now.Sub(c.recoveredAt) < recoveryNoticePeriod) {
 		u.RecoveredMsAgo = uint32(max(now.Sub(c.recoveredAt).Milliseconds(), 1))
 	}
 	if after.Revision <= 0 || after.Before(c.deltaFloor) {
--- a/pkg/feed/cache_test.go
+++ b/pkg/feed/cache_test.go
@@ -206,32 +206,32 @@
 	require.ErrorIs(t, across.Validate(), ErrInvalidPosition, "delta across eras")
 	early := Update{Full: true, To: at(20), Items: withEra(1, entry("x", 3))}
 	require.ErrorIs(t, early.Validate(), ErrInvalidPosition, "entry of a later era")
-	held := Update{Full: true, To: atEra(1, 2), Items: []Item{entry("x", 90)}}
-	require.NoError(t, held.Validate(), "entry of an earlier era")
+	lost := Update{Full: true, To: atEra(1, 2), Items: []Item{entry("x", 90)}}
+	require.NoError(t, lost.Validate(), "entry of an earlier era")
 }
 
 // Guards against entries that a restored store has lost being dropped at once, or never.
-func TestLostEntriesAreHeldForTheGracePeriod(t *testing.T) {
+func TestLostEntriesAreKeptForTheGracePeriod(t *testing.T) {
 	const grace = 2 * time.Second
 	c := restoredCache(testStart)
 	require.Equal(t, map[string]int64{"config": 10, "leaf": 19, "order": 20}, liveRevisions(c))
 	update := c.Since(Position{}, testStart.Add(time.Second))
 	require.EqualValues(t, 1000, update.RecoveredMsAgo, "listeners hold lost entries no longer than this cache")
-	require.Empty(t, c.ExpireHeld(testStart.Add(grace-1), grace, ""))
+	require.Empty(t, c.ExpireLost(testStart.Add(grace-1), grace, ""))
 	c.Apply(Update{From: atEra(1, 12), To: atEra(1, 15), Items: withEra(1, entry("leaf", 15))})
-	lapsed := c.ExpireHeld(testStart.Add(grace), grace, "")
+	lapsed := c.ExpireLost(testStart.Add(grace), grace, "")
 	require.Equal(t, []Item{{Key: "order", At: atEra(1, 15), Deleted: true}}, lapsed)
-	require.Empty(t, c.ExpireHeld(testStart.Add(grace), grace, ""))
+	require.Empty(t, c.ExpireLost(testStart.Add(grace), grace, ""))
 	require.Equal(t, map[string]int64{"config": 10, "leaf": 15}, liveRevisions(c))
 
 	c = restoredCache(testStart)
-	require.Len(t, c.ExpireHeld(testStart.Add(grace), grace, "leaf"), 1, "the entry under keptKey stays until it is replaced")
+	require.Len(t, c.ExpireLost(testStart.Add(grace), grace, "leaf"), 1, "the entry under keptKey stays until it is replaced")
 }
 
 // Guards against leafs that stay in use forever after they left. One instance has a leaf from the
 // restored store. Its peer missed that the leaf was added and removed there, and sends the entry
 // that it still holds from the era before.
-func TestHeldEntryDoesNotCountAsListed(t *testing.T) {
+func TestLostEntryDoesNotCountAsListed(t *testing.T) {
 	c, peer := restoredCache(testStart), restoredCache(testStart)
 	c.Apply(Update{From: atEra(1, 12), To: atEra(1, 14), Items: withEra(1, entry("leaf", 14))})
 	peer.Apply(Update{Full: true, To: atEra(1, 17), Items: withEra(1, entry("config", 10))})
--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -14,7 +14,7 @@
 	// Send reports whether a peer accepted the batch; if not, nothing was sent. It calls take
 	// with the replies as they arrive, and reports each call of the batch exactly once. The
 	// replies passed in one invocation of take belong together. cancel aborts the batch.
-	Send(b Batch, take func([]BatchReply)) (cancel func(), ok bool)
+	Send(b Batch, deliver func([]BatchReply)) (cancel func(), ok bool)
 }
 
 // Batch is a set of requests of one query to leafs of one availability zone.
--- a/pkg/gateway/batches_test.go
+++ b/pkg/gateway/batches_test.go
@@ -15,24 +15,24 @@
 
 // scriptedBatcher passes batches to a function.
 type scriptedBatcher struct {
-	send      func(b Batch, take func([]BatchReply)) bool
+	send      func(b Batch, deliver func([]BatchReply)) bool
 	batches   atomic.Int64
 	cancelled atomic.Int64
 }
 
-func (s *scriptedBatcher) Send(b Batch, take func([]BatchReply)) (func(), bool) {
+func (s *scriptedBatcher) Send(b Batch, deliver func([]BatchReply)) (func(), bool) {
 	s.batches.Add(1)
-	return func() { s.cancelled.Add(1) }, s.send(b, take)
+	return func() { s.cancelled.Add(1) }, s.send(b, deliver)
 }
 
 // replyMerged replies to all calls of a batch in one group.
-func replyMerged(b Batch, take func([]BatchReply)) {
+func replyMerged(b Batch, deliver func([]BatchReply)) {
 	var group []BatchReply
 	for i := range b.Calls {
 		content := fmt.Sprint("merged ", i)
 		group = append(group, BatchReply{Call: i, Took: time.Millisecond, Reply: LeafReply{Outcome: replica.Answered, Content: content}})
 	}
-	take(group)
+	deliver(group)
 }
 
 // The first requests to another zone are sent as one batch; requests that no peer accepts are
@@ -40,11 +40,11 @@
 func TestFirstRequestsAreBatched(t *testing.T) {
 	for _, accepted := range []bool{true, false} {
 		g := newGateway(t, 4, answered)
-		batcher := &scriptedBatcher{send: func(b Batch, take func([]BatchReply)) bool {
+		batcher := &scriptedBatcher{send: func(b Batch, deliver func([]BatchReply)) bool {
 			require.Equal(t, "z", b.Zone)
 			require.Len(t, b.Calls, 4)
 			if accepted {
-				replyMerged(b, take)
+				replyMerged(b, deliver)
 			}
 			return accepted
 		}}
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -93,14 +93,14 @@
 	}{
 		"no route": {"/none/", answered, errcode.UnknownRoute},
 		"gather":   {"/all/", answered, errcode.OK},
-		"gather, every leaf loses the connection": {"/all/", always(replica.Broken), errcode.TooFewShards},
+		"gather, every leaf loses the connection": {"/all/", always(replica.ReplyLost), errcode.TooFewShards},
 		"gather, every leaf refuses":              {"/all/", always(replica.Refused), errcode.ShardsUnavailable},
 		"one":                                     {"/one/", answered, errcode.OK},
 		"one, both refuse":                        {"/one/", always(replica.Refused), errcode.ShardsUnavailable},
-		"one, both lose the connection":           {"/one/", always(replica.Broken), errcode.LeafFailed},
+		"one, both lose the connection":           {"/one/", always(replica.ReplyLost), errcode.LeafFailed},
 		"hold":                                    {"/hold/", answered, errcode.OK},
 		"hold, not sent":                          {"/hold/", always(replica.NotSent), errcode.ShardsUnavailable},
-		"hold, connection lost: outcome unknown":  {"/hold/", always(replica.Broken), errcode.OutcomeUnknown},
+		"hold, connection lost: outcome unknown":  {"/hold/", always(replica.ReplyLost), errcode.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := ask(newGateway(t, 20, tc.answer), tc.path)
--- a/pkg/gateway/gatherers.go
+++ b/pkg/gateway/gatherers.go
@@ -17,9 +17,9 @@
 // seconds in which hardly a query is refused and most are late. Run by a few instances, the
 // queries of a zone share what those instances have observed.
 type Gatherers interface {
-	// Delegate hands a query to a gatherer. ok is false if no gatherer accepted it or this
+	// HandOff hands a query to a gatherer. ok is false if no gatherer accepted it or this
 	// instance is to run it itself; nothing has run in that case.
-	Delegate(ctx context.Context, q GatherQuery) (a Answer, ok bool)
+	HandOff(ctx context.Context, q GatherQuery) (a Answer, ok bool)
 }
 
 // GatherQuery is a query that may be delegated.
@@ -44,16 +44,16 @@
 	if g.gatherers == nil || !g.table.OwnZoneAllowed(route.Name) {
 		return g.gather(ctx, req, route, deadline)
 	}
-	a, ok := g.gatherers.Delegate(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, Deadline: deadline})
+	a, ok := g.gatherers.HandOff(ctx, GatherQuery{Request: req, Route: route, ConfigVersion: version, Deadline: deadline})
 	if !ok {
 		return g.gather(ctx, req, route, deadline)
 	}
-	g.recordDelegated(req, route, a)
+	g.recordHandedOff(req, route, a)
 	return a
 }
 
-// recordDelegated records the outcome of a query that another instance ran.
-func (g *Gateway) recordDelegated(req *Request, route *routing.Route, a Answer) {
+// recordHandedOff records the outcome of a query that another instance ran.
+func (g *Gateway) recordHandedOff(req *Request, route *routing.Route, a Answer) {
 	switch {
 	case a.Code == errcode.OK:
 		return
--- a/pkg/gateway/gatherers_test.go
+++ b/pkg/gateway/gatherers_test.go
@@ -13,14 +13,14 @@
 // scriptedGatherers answers queries by a function.
 type scriptedGatherers func(q GatherQuery) (Answer, bool)
 
-func (f scriptedGatherers) Delegate(_ context.Context, q GatherQuery) (Answer, bool) { return f(q) }
+func (f scriptedGatherers) HandOff(_ context.Context, q GatherQuery) (Answer, bool) { return f(q) }
 
 // A gatherer's answer is passed to the caller; a query that it declines runs locally.
-func TestQueriesAreDelegatedToGatherer(t *testing.T) {
+func TestQueriesAreHandedOffToGatherer(t *testing.T) {
 	g := newGateway(t, 2, answered)
-	delegated := 0
+	handedOff := 0
 	g.UseGatherers(scriptedGatherers(func(q GatherQuery) (Answer, bool) {
-		delegated++
+		handedOff++
 		require.Equal(t, g.Config().Version, q.ConfigVersion)
 		return Answer{Code: errcode.ShardsOverloaded, RetryAfter: time.Second}, true
 	}))
@@ -30,7 +30,7 @@
 	require.NotNil(t, a.Route)
 	g.UseGatherers(scriptedGatherers(func(GatherQuery) (Answer, bool) { return Answer{}, false }))
 	require.Equal(t, errcode.OK, ask(g, "/all/x").Code)
-	require.Equal(t, 1, delegated)
+	require.Equal(t, 1, handedOff)
 }
 
 // Guards against a caller seeing a configuration that has been replaced. A query is delegated to
--- a/pkg/gateway/leafcall.go
+++ b/pkg/gateway/leafcall.go
@@ -23,12 +23,12 @@
 	g.applyLoad(call, tracked, reply, now)
 	change := g.table.EndWithLatency(tracked, reply.Outcome, took, now)
 	g.stats.leafCall(reply.Outcome, took)
-	if reply.Outcome == replica.ProcessExited {
+	if reply.Outcome == replica.LeafCrashed {
 		g.recordLeafCrash(call, tracked, now)
 	}
 	if reply.Outcome != replica.Answered && reply.Outcome != replica.Abandoned {
 		event := "leaf_call_failed"
-		if reply.Outcome == replica.ProcessExited {
+		if reply.Outcome == replica.LeafCrashed {
 			event = "leaf_ended" // Rare but important, so it has a rate limit of its own.
 		}
 		g.log.Decision(event, call.Request.logFields(tracked.Class(), oplog.Fields{
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -33,7 +33,7 @@
 // recordLeafCrash records that a leaf process ended while it had a request.
 func (g *Gateway) recordLeafCrash(call LeafCall, tracked *replica.Call, now time.Time) {
 	req := call.Request
-	g.logVerdictChange(req.ID, g.quarantine.RecordLeafEnd(req.Key, req.ID, call.Leaf.ID, call.Service, tracked.StartTime(), now))
+	g.logVerdictChange(req.ID, g.quarantine.RecordLeafCrash(req.Key, req.ID, call.Leaf.ID, call.Service, tracked.StartTime(), now))
 }
 
 // recordTrial records the result of the trial of a suspect.
@@ -50,8 +50,8 @@
 	switch {
 	case outcome == replica.Answered:
 		return quarantine.Answered
-	case outcome == replica.ProcessExited || outcome == replica.Broken || outcome == replica.ConnLimitReached:
-		return quarantine.LeafEnded
+	case outcome == replica.LeafCrashed || outcome == replica.ReplyLost || outcome == replica.ConnLimitReached:
+		return quarantine.LeafCrashed
 	case outcome.NotDelivered():
 		return quarantine.Unsent
 	}
@@ -99,7 +99,7 @@
 // logGivenUp logs that a query was given up to protect the leafs.
 func (r *gatherRun) logGivenUp(now time.Time) {
 	r.g.log.Decision("query_given_up", r.req.logFields(r.route.Name, oplog.Fields{
-		"leafs_ended": r.query.LeafsEnded(), "covered": r.query.CoveredShards(), "trial": r.isTrial,
+		"leafs_ended": r.query.LeafsCrashed(), "covered": r.query.CoveredShards(), "trial": r.isTrial,
 		"verdict":  r.g.quarantine.Verdict(r.req.Key, now).String(),
 		"after_ms": time.Since(r.req.Arrived).Milliseconds(), "config_version": r.g.version(),
 	}))
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -24,7 +24,7 @@
 			return answered(ctx, call)
 		}
 		calls.Add(1)
-		return LeafReply{Outcome: replica.ProcessExited}
+		return LeafReply{Outcome: replica.LeafCrashed}
 	}
 }
 
@@ -78,19 +78,19 @@
 // A request that crashes the leafs of one shard and is answered by all others is quarantined as
 // well: it is tried at the shard whose leafs crashed.
 func TestRequestThatCrashesLeafsOfOneShardIsRefused(t *testing.T) {
-	var ended atomic.Int64
+	var crashed atomic.Int64
 	g := newGateway(t, 20, func(ctx context.Context, call LeafCall) LeafReply {
 		if call.Service == "s7" && strings.Contains(call.Request.Path, "deadly") {
-			ended.Add(1)
-			return LeafReply{Outcome: replica.ProcessExited}
+			crashed.Add(1)
+			return LeafReply{Outcome: replica.LeafCrashed}
 		}
 		return answered(ctx, call)
 	})
 	require.Equal(t, errcode.OK, attempt(g, "/all/deadly").Code, "the minimum share of shards is covered")
-	require.EqualValues(t, 2, ended.Load())
+	require.EqualValues(t, 2, crashed.Load())
 	require.Equal(t, errcode.LeafsCrashed, attempt(g, "/all/deadly").Code)
 	require.Equal(t, errcode.Quarantined, attempt(g, "/all/deadly").Code)
-	require.EqualValues(t, 3, ended.Load())
+	require.EqualValues(t, 3, crashed.Load())
 }
 
 // A request that happened to be in flight when leafs crashed is tried at one leaf and then
@@ -99,7 +99,7 @@
 	for _, path := range []string{"/all/x", "/one/x", "/hold/x"} {
 		g := newGateway(t, 20, answered)
 		for _, leaf := range []string{"a", "b", "c"} {
-			g.quarantine.RecordLeafEnd(quarantine.KeyOf(path), "earlier", leaf, "s3", time.Now(), time.Now())
+			g.quarantine.RecordLeafCrash(quarantine.KeyOf(path), "earlier", leaf, "s3", time.Now(), time.Now())
 		}
 		a := attempt(g, path)
 		require.Equal(t, errcode.OK, a.Code)
@@ -114,10 +114,10 @@
 func TestQueryThatCrashesLeafsIsCancelled(t *testing.T) {
 	for _, reported := range []bool{false, true} {
 		t.Run(fmt.Sprint("reported by others ", reported), func(t *testing.T) {
-			var ended, cancelled atomic.Int64
+			var crashed, cancelled atomic.Int64
 			g := newGateway(t, 20, func(ctx context.Context, _ LeafCall) LeafReply {
-				if !reported && ended.Add(1) <= 3 {
-					return LeafReply{Outcome: replica.ProcessExited}
+				if !reported && crashed.Add(1) <= 3 {
+					return LeafReply{Outcome: replica.LeafCrashed}
 				}
 				<-ctx.Done()
 				cancelled.Add(1)
@@ -125,7 +125,7 @@
 			})
 			key := quarantine.KeyOf("/all/deadly")
 			if reported {
-				go g.quarantine.Merge(quarantine.Report{Key: key, EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
+				go g.quarantine.Merge(quarantine.Report{Key: key, CrashIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 			}
 			require.Contains(t, []errcode.Code{errcode.LeafsCrashed, errcode.Quarantined}, attempt(g, "/all/deadly").Code)
 			want := int64(17)
@@ -138,11 +138,11 @@
 }
 
 // A query delegated by another instance is refused according to this instance's quarantine.
-func TestQuarantineAppliesToDelegatedQueries(t *testing.T) {
+func TestQuarantineAppliesToHandedOffQueries(t *testing.T) {
 	var calls atomic.Int64
 	g := newGateway(t, 20, crashingLeafs(&calls))
 	key := quarantine.KeyOf("/all/deadly")
-	g.quarantine.Merge(quarantine.Report{Key: key, EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
+	g.quarantine.Merge(quarantine.Report{Key: key, CrashIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 	a, ok := g.Gather(t.Context(), &Request{ID: "r", Key: key, Host: "h", Path: "/all/deadly", Arrived: time.Now(), Timeout: time.Minute}, g.version(), func() bool { return true })
 	require.True(t, ok, "if it were declined, the other instance would run it")
 	require.Equal(t, errcode.Quarantined, a.Code)
@@ -160,7 +160,7 @@
 	})
 	key := quarantine.KeyOf("/all/x")
 	for _, leaf := range []string{"a", "b", "c"} {
-		g.quarantine.RecordLeafEnd(key, "earlier", leaf, "s3", time.Now(), time.Now())
+		g.quarantine.RecordLeafCrash(key, "earlier", leaf, "s3", time.Now(), time.Now())
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, leave)
@@ -178,7 +178,7 @@
 	g = newGateway(t, 20, func(ctx context.Context, call LeafCall) LeafReply {
 		if call.Service == "s0" {
 			time.Sleep(30 * time.Millisecond)
-			g.quarantine.Merge(quarantine.Report{Key: key, EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
+			g.quarantine.Merge(quarantine.Report{Key: key, CrashIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 		}
 		return answered(ctx, call)
 	})
@@ -192,7 +192,7 @@
 	route := &routing.Route{Name: "none", Kind: routing.Repeatable, MaxAttempts: 2}
 	key := quarantine.KeyOf("none")
 	for _, leaf := range []string{"a", "b", "c"} {
-		g.quarantine.RecordLeafEnd(key, "earlier", leaf, "one", time.Now(), time.Now())
+		g.quarantine.RecordLeafCrash(key, "earlier", leaf, "one", time.Now(), time.Now())
 	}
 	a := g.Serve(t.Context(), &Request{ID: "r", Key: key, Arrived: time.Now()}, route)
 	require.Equal(t, errcode.ShardsUnavailable, a.Code)
@@ -203,11 +203,11 @@
 // time it remains unknown whether the leaf of a trial has crashed, because only the loss of the
 // connection is seen; the request was then tried again every few seconds.
 func TestTrialWithLostConnectionCountsAsCrash(t *testing.T) {
-	for _, outcome := range []replica.Outcome{replica.Broken, replica.ConnLimitReached, replica.ProcessExited} {
+	for _, outcome := range []replica.Outcome{replica.ReplyLost, replica.ConnLimitReached, replica.LeafCrashed} {
 		g := newGateway(t, 20, func(context.Context, LeafCall) LeafReply { return LeafReply{Outcome: outcome} })
 		key := quarantine.KeyOf("/all/x")
 		for _, leaf := range []string{"a", "b", "c"} {
-			g.quarantine.RecordLeafEnd(key, "earlier", leaf, "s3", time.Now(), time.Now())
+			g.quarantine.RecordLeafCrash(key, "earlier", leaf, "s3", time.Now(), time.Now())
 		}
 		attempt(g, "/all/x")
 		require.Greater(t, g.quarantine.Remaining(key, time.Now()), 9*time.Second, outcome.String())
--- a/pkg/gateway/single.go
+++ b/pkg/gateway/single.go
@@ -83,8 +83,8 @@
 	if len(r.triedLeafs) > 0 && r.g.quarantine.Verdict(r.req.Key, now) != quarantine.Sound {
 		return false // It has crashed leafs and would crash another one.
 	}
-	p, verdict := r.g.table.Place(r.service, r.route.Name, r.triedLeafs, now)
-	if verdict != replica.Placed {
+	p, placed := r.g.table.Place(r.service, r.route.Name, r.triedLeafs, now)
+	if placed != replica.Placed {
 		return false
 	}
 	if len(r.triedLeafs) > 0 && !r.g.table.TakeSecondRequestBudget(r.service, now) {
--- a/pkg/gateway/stats.go
+++ b/pkg/gateway/stats.go
@@ -27,7 +27,7 @@
 	gauge("gateway_requests_suspect", func() float64 { return float64(table.Count(quarantine.Suspect, time.Now())) })
 	gauge("gateway_requests_quarantined", func() float64 { return float64(table.Count(quarantine.Quarantined, time.Now())) })
 	counts := table.Counts()
-	gauge("gateway_leafs_ended", func() float64 { return float64(counts.LeafsEnded.Load()) })
+	gauge("gateway_leafs_ended", func() float64 { return float64(counts.LeafsCrashed.Load()) })
 	gauge("gateway_request_trials", func() float64 { return float64(counts.Trials.Load()) })
 	gauge("gateway_requests_cleared", func() float64 { return float64(counts.Cleared.Load()) })
 }
--- a/pkg/leafconn/leafconn_test.go
+++ b/pkg/leafconn/leafconn_test.go
@@ -47,7 +47,7 @@
 
 func newPool() *Pool {
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 5, Burst: 20, Buffer: 64})
-	return New(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxBody: 1000, Log: log})
+	return New(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxReplyBytes: 1000, Log: log})
 }
 
 func newRequest() *http.Request {
@@ -265,7 +265,7 @@
 // A leaf whose process ends while it has a request differs from one that only closes the
 // connection: nothing listens at its address any more.
 func TestCrashedLeafIsDistinguishedFromClosedConnection(t *testing.T) {
-	for _, ends := range []bool{true, false} {
+	for _, crashes := range []bool{true, false} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = ln.Close() })
@@ -275,13 +275,13 @@
 				return
 			}
 			_, _ = http.ReadRequest(bufio.NewReader(conn))
-			if ends {
+			if crashes {
 				_ = ln.Close()
 			}
 			_ = conn.Close()
 		}()
 		_, outcome, err := send(newPool(), ln.Addr().String(), time.Minute)
 		require.Error(t, err)
-		require.Equal(t, ends, outcome == LeafCrashed, "outcome %d", outcome)
+		require.Equal(t, crashes, outcome == LeafCrashed, "outcome %d", outcome)
 	}
 }
--- a/pkg/leafconn/pool.go
+++ b/pkg/leafconn/pool.go
@@ -22,8 +22,8 @@
 	// IdleTimeout is the time after which an unused connection is closed, unless the leaf
 	// announced a shorter one.
 	IdleTimeout time.Duration
-	// MaxBody is the maximum size of a reply's body in bytes.
-	MaxBody int64
+	// MaxReplyBytes is the maximum size of a reply's body in bytes.
+	MaxReplyBytes int64
 	// Log receives an event for each malformed Keep-Alive header in a reply.
 	Log *oplog.Log
 }
--- a/pkg/leafconn/roundtrip.go
+++ b/pkg/leafconn/roundtrip.go
@@ -147,11 +147,11 @@
 			}
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxBody+1))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxReplyBytes+1))
 		if err != nil {
 			return nil, false, err
 		}
-		if int64(len(body)) > p.opts.MaxBody {
+		if int64(len(body)) > p.opts.MaxReplyBytes {
 			return nil, false, errBodyTooLarge
 		}
 		c.keepAlive, err = parseKeepAlive(resp.Header.Get("Keep-Alive"))
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -78,10 +78,10 @@
 		LinesPerSecond: set.Log.LinesPerSecond, Burst: set.Log.Burst, Buffer: set.Log.Buffer, MinLevel: level,
 	})
 	n.pool = leafconn.New(leafconn.Options{
-		DialTimeout: settings.Duration(set.Leafs.DialTimeoutMs),
-		IdleTimeout: settings.Duration(set.Leafs.IdleTimeoutMs),
-		MaxBody:     int64(set.Leafs.MaxReplyBytes),
-		Log:         n.log,
+		DialTimeout:   settings.Duration(set.Leafs.DialTimeoutMs),
+		IdleTimeout:   settings.Duration(set.Leafs.IdleTimeoutMs),
+		MaxReplyBytes: int64(set.Leafs.MaxReplyBytes),
+		Log:           n.log,
 	})
 	n.table = replica.NewTable(tableOptions(set))
 	n.leafs = adapter.Leafs(n.pool)
@@ -91,7 +91,7 @@
 	n.gateway.Quarantine().SetMaxDuration(settings.Duration(set.Limits.MaxQuarantineMs), time.Now())
 	n.follower = discovery.NewFollower(adapter.Source(set.Store.Address, n.log), n, storeOptions(set), n.log)
 	gaps := n.metrics.NewHistogram("node_store_proof_gap_seconds")
-	n.follower.OnProof(func(gap time.Duration) { gaps.Update(gap.Seconds()) })
+	n.follower.OnCurrent(func(gap time.Duration) { gaps.Update(gap.Seconds()) })
 	if n.front, err = front.New(set.Listen.Callers, adapter.CallerHandler(n.gateway, n.log), initialLimits, set.Limits.MaxConnections); err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 
 func storeOptions(set *settings.Node) discovery.Options {
 	return discovery.Options{
-		Pace: set.LongPollOptions(), OutageThreshold: settings.Duration(set.Store.OutageThresholdMs),
+		LongPoll: set.LongPollOptions(), OutageThreshold: settings.Duration(set.Store.OutageThresholdMs),
 		LostEntryGrace: settings.Duration(set.Leafs.LapseGraceMs),
 	}
 }
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -53,8 +53,8 @@
 	}
 	if set.Peers.Gather {
 		n.gateway.UseGatherers(agent)
-		slack := peers.BurstBudget{Total: set.Declared.SecondRequestSlack, Zones: set.Declared.Zones, Window: settings.Duration(set.Declared.SecondRequestWindowMs)}
-		agent.EnableBurstSharing(slack, n.table.SetBurstLimits)
+		burst := peers.BurstBudget{Total: set.Declared.SecondRequestBurst, Zones: set.Declared.Zones, Window: settings.Duration(set.Declared.SecondRequestWindowMs)}
+		agent.EnableBurstSharing(burst, n.table.SetBurstLimits)
 	}
 	if set.Peers.Feed {
 		n.follower.OnChange(server.NotifySubscribers)
--- a/pkg/node/sink.go
+++ b/pkg/node/sink.go
@@ -75,7 +75,7 @@
 }
 
 // StoreRecovered implements discovery.Sink.
-func (n *Node) StoreRecovered() { n.table.StoreReturned(time.Now()) }
+func (n *Node) StoreRecovered() { n.table.StoreRecovered(time.Now()) }
 
 // ZoneEvacuationChanged implements discovery.Sink.
 func (n *Node) ZoneEvacuationChanged(zone string, evacuated bool) {
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -71,8 +71,8 @@
 	Members       []MemberState       `json:"members"`
 	// Quarantine lists the requests that are suspected, or known, to end leafs.
 	Quarantine []quarantine.State `json:"quarantine"`
-	// Evacuated lists the availability zones whose leafs must not get requests.
-	Evacuated []string `json:"evacuated"`
+	// EvacuatedZones lists the availability zones whose leafs must not get requests.
+	EvacuatedZones []string `json:"evacuated"`
 	// Peers lists the names of the connected peers.
 	Peers []string   `json:"peers"`
 	Store StoreState `json:"store"`
@@ -96,9 +96,9 @@
 		Name: set.Name, Zone: set.Zone, Ready: n.ready(), Draining: n.draining.Load(),
 		UptimeMs: time.Since(n.started).Milliseconds(), InFlight: n.gateway.InFlight(),
 		OpenConns: n.pool.Stats.OpenConns.Load(), Leafs: n.table.Dump(time.Now()), Members: n.peering.state(), Peers: n.peering.connected(),
-		Evacuated:  n.table.EvacuatedZones(),
-		Quarantine: n.gateway.Quarantine().Dump(time.Now()),
-		Store:      n.storeState(),
+		EvacuatedZones: n.table.EvacuatedZones(),
+		Quarantine:     n.gateway.Quarantine().Dump(time.Now()),
+		Store:          n.storeState(),
 	}
 	if c := n.gateway.Config(); c != nil {
 		s.ConfigVersion, s.Routes = c.Version, c.RouteCount()
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -547,7 +547,7 @@
 // sendUpdate sends what is new to a listener and returns the position up to which it was sent.
 func (f *simFleet) sendUpdate(from *discovery.Follower, listener *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
 	confirmed, answered, update := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.ChangesSince(sent)
-	known := from.HasSnapshot()
+	known := from.Synced()
 	sends := known && update.To.After(sent)
 	if sends {
 		sent = update.To
@@ -556,7 +556,7 @@
 	listener.waitWhilePaused()
 	to := listener.follower
 	if sends {
-		_ = to.ApplyPage(update) // A rejected update is lost, as on a connection.
+		_ = to.ApplyUpdate(update) // A rejected update is lost, as on a connection.
 	}
 	contradicted := known && to.ResetIfContradicted(update.To, time.Now().Add(-confirmed))
 	switch {
--- a/pkg/peers/clientconn.go
+++ b/pkg/peers/clientconn.go
@@ -23,7 +23,7 @@
 	onClosed  func(*clientConn, error)
 	// onFeedStatus and onPage receive frames about the store; nil if no feed is used.
 	onFeedStatus func(*clientConn, feedStatus)
-	onPage       func(*clientConn, []byte) error
+	onUpdate     func(*clientConn, []byte) error
 	// subscribed reports whether the peer was asked for its feed. Peers.mu guards it.
 	subscribed   bool
 	subscribedAt time.Time
@@ -222,11 +222,11 @@
 			c.onFeedStatus(c, n)
 		}
 		return err
-	case kindPage:
-		if c.onPage == nil {
+	case kindUpdate:
+		if c.onUpdate == nil {
 			return nil
 		}
-		return c.onPage(c, raw)
+		return c.onUpdate(c, raw)
 	}
 	return c.handleQueryFrame(k, raw)
 }
--- a/pkg/peers/frames.go
+++ b/pkg/peers/frames.go
@@ -54,7 +54,7 @@
 	// how current the server is, and kindPage holds changes (server to client).
 	kindSubscribe
 	kindFeedStatus
-	kindPage
+	kindUpdate
 	// kindGrant allows the server to run an accepted query (client to server).
 	kindGrant
 )
--- a/pkg/peers/gossip.go
+++ b/pkg/peers/gossip.go
@@ -21,10 +21,10 @@
 }
 
 const (
-	// maxPiggybackedNotes is the maximum number of notes on a regular membership message, and
+	// maxPiggybackedReports is the maximum number of notes on a regular membership message, and
 	// maxNotesPerMessage on one that is sent for the notes. A datagram stays below 1,400 bytes.
-	maxPiggybackedNotes = 4
-	maxNotesPerMessage  = 12
+	maxPiggybackedReports = 4
+	maxReportsPerMessage  = 12
 )
 
 // tickMembership runs the timers of the membership and returns the messages to send.
@@ -68,7 +68,7 @@
 			p.log.Decision("member_message_malformed", oplog.Fields{"from": from.String(), "claims": m.From.Addr, "error": "sent from another address"})
 			continue
 		}
-		p.applyQuarantineNotes(m.Requests, m.From.Name)
+		p.applyQuarantineReports(m.Requests, m.From.Name)
 		p.mu.Lock()
 		out := p.members.Receive(m.Message, time.Now())
 		p.logStatusChanges()
@@ -77,14 +77,14 @@
 	}
 }
 
-// applyQuarantineNotes merges the notes of another instance into the quarantine table.
-func (p *Peers) applyQuarantineNotes(notes []quarantine.Report, from string) {
+// applyQuarantineReports merges the notes of another instance into the quarantine table.
+func (p *Peers) applyQuarantineReports(reports []quarantine.Report, from string) {
 	if p.quarantine == nil {
 		return
 	}
 	now := time.Now()
-	for _, note := range notes[:min(len(notes), maxNotesPerMessage)] {
-		change := p.quarantine.Merge(note, now)
+	for _, report := range reports[:min(len(reports), maxReportsPerMessage)] {
+		change := p.quarantine.Merge(report, now)
 		if change.Changed() {
 			fields := change.Fields()
 			fields["peer"] = from
@@ -100,15 +100,15 @@
 	if p.quarantine == nil {
 		return
 	}
-	notes := p.quarantine.PendingReports(maxNotesPerMessage, now)
-	if len(notes) == 0 {
+	reports := p.quarantine.PendingReports(maxReportsPerMessage, now)
+	if len(reports) == 0 {
 		return
 	}
 	p.mu.Lock()
 	out := p.members.GossipToAll()
 	p.mu.Unlock()
 	for _, e := range out {
-		p.sendPacket(e.To, packet{Message: e.Message, Requests: notes})
+		p.sendPacket(e.To, packet{Message: e.Message, Requests: reports})
 	}
 }
 
@@ -117,7 +117,7 @@
 	for _, e := range out {
 		m := packet{Message: e.Message}
 		if p.quarantine != nil && e.Message.Kind != membership.MemberList {
-			m.Requests = p.quarantine.AntiEntropyReports(maxPiggybackedNotes, time.Now())
+			m.Requests = p.quarantine.AntiEntropyReports(maxPiggybackedReports, time.Now())
 		}
 		p.sendPacket(e.To, m)
 	}
--- a/pkg/peers/handover.go
+++ b/pkg/peers/handoff.go
@@ -40,17 +40,17 @@
 	return true
 }
 
-// handover is the state of a query at the instance that accepted it.
-type handover struct {
+// handoff is the state of a query at the instance that accepted it.
+type handoff struct {
 	// grantedCh is closed when the query is granted.
 	grantedCh chan struct{}
 	granted   bool
 }
 
-func newHandover() *handover { return &handover{grantedCh: make(chan struct{})} }
+func newHandoff() *handoff { return &handoff{grantedCh: make(chan struct{})} }
 
 // grant records that the query is granted. Repeated calls have no effect.
-func (h *handover) grant() {
+func (h *handoff) grant() {
 	if !h.granted {
 		h.granted = true
 		close(h.grantedCh)
--- a/pkg/peers/handover_test.go
+++ b/pkg/peers/handoff_test.go
@@ -88,7 +88,7 @@
 		<-reached
 		p.toServer.closed.Store(true) // Further frames of the owner are delayed.
 	}()
-	_, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+	_, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 	require.False(t, ok, "the peer did not accept in time, so the owner runs the query")
 	p.toClient.closed.Store(false)
 	p.toServer.closed.Store(false)
@@ -102,19 +102,19 @@
 	at   int
 }
 
-// handoverSim is a simulated handover. Messages take up to 100 steps, and are lost, duplicated and
+// handoffSim is a simulated handover. Messages take up to 100 steps, and are lost, duplicated and
 // reordered. Either side may be paused, and the connection may be closed.
-type handoverSim struct {
+type handoffSim struct {
 	rng      *rand.Rand
 	messages []simMessage
 	offer    offerState
-	handover *handover
+	handoff  *handoff
 	// localRuns and remoteRuns count the runs at the owner and at the peer.
 	localRuns, remoteRuns int
 	cancelled             bool
 }
 
-func (x *handoverSim) send(kind frameKind, now int) {
+func (x *handoffSim) send(kind frameKind, now int) {
 	for range 1 + x.rng.IntN(2) {
 		if x.rng.IntN(5) > 0 {
 			x.messages = append(x.messages, simMessage{kind: kind, at: now + x.rng.IntN(100)})
@@ -123,7 +123,7 @@
 }
 
 // receive handles one message.
-func (x *handoverSim) receive(m simMessage) {
+func (x *handoffSim) receive(m simMessage) {
 	switch m.kind {
 	case kindQuery:
 		x.send(kindAccepted, m.at)
@@ -132,10 +132,10 @@
 			x.send(kindGrant, m.at)
 		}
 	case kindGrant:
-		if !x.handover.granted && !x.cancelled {
+		if !x.handoff.granted && !x.cancelled {
 			x.remoteRuns++
 		}
-		x.handover.grant()
+		x.handoff.grant()
 	case kindCancel:
 		x.cancelled = true
 	case kindDeclined: // acceptTimeout has expired, or the connection is closed.
@@ -148,10 +148,10 @@
 
 // Guards against a query that both instances run, whichever messages are lost, delayed or
 // duplicated. Without faults the peer runs it.
-func TestHandoverHasAtMostOneOwner(t *testing.T) {
+func TestHandoffHasAtMostOneOwner(t *testing.T) {
 	remote, none := 0, 0
 	for seed := range uint64(20000) {
-		x := &handoverSim{rng: rand.New(rand.NewPCG(seed, 7)), handover: newHandover()}
+		x := &handoffSim{rng: rand.New(rand.NewPCG(seed, 7)), handoff: newHandoff()}
 		x.send(kindQuery, 0)
 		x.messages = append(x.messages, simMessage{kind: kindDeclined, at: 40 + x.rng.IntN(200)})
 		for len(x.messages) > 0 {
@@ -170,7 +170,7 @@
 	}
 	require.Positive(t, remote)
 	require.Positive(t, none, "after a lost grant nobody runs the query, and its caller is told that it may have run")
-	x := &handoverSim{handover: newHandover()}
+	x := &handoffSim{handoff: newHandoff()}
 	require.True(t, x.offer.accept())
 	x.receive(simMessage{kind: kindGrant})
 	require.Equal(t, 1, x.remoteRuns)
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -278,7 +278,7 @@
 	}
 	c.onTimeout, c.onClosed, c.onLateAccept = p.handleTimeout, p.handleConnClosed, p.handleLateAccept
 	if p.subscriber != nil {
-		c.onFeedStatus, c.onPage = p.handleFeedStatus, p.handlePage
+		c.onFeedStatus, c.onUpdate = p.handleFeedStatus, p.handleUpdate
 	}
 	p.conns[m.Name] = c
 	go c.read()
--- a/pkg/peers/publisher.go
+++ b/pkg/peers/publisher.go
@@ -18,8 +18,8 @@
 type Store interface {
 	// ChangesSince returns the changes after a position.
 	ChangesSince(after feed.Position) feed.Update
-	// HasSnapshot reports whether the store was read completely, directly or from a peer.
-	HasSnapshot() bool
+	// Synced reports whether the store was read completely, directly or from a peer.
+	Synced() bool
 	// Position is the position of the latest known change.
 	Position() feed.Position
 	// ConfirmedAt is when the store last answered this instance or a peer that reported its
@@ -31,8 +31,8 @@
 	MarkConfirmed(at time.Time)
 	// AnsweredAt is when the store last answered this instance itself.
 	AnsweredAt() time.Time
-	// ApplyPage applies the changes that a peer has sent.
-	ApplyPage(p feed.Update) error
+	// ApplyUpdate applies the changes that a peer has sent.
+	ApplyUpdate(u feed.Update) error
 	// ResetIfContradicted compares the known position with the position of the store when it
 	// answered a peer at a time. It discards the known state if the two cannot both be right,
 	// and reports whether it did.
@@ -88,9 +88,9 @@
 // feedStatusTimeout is the maximum age of a usable status.
 const feedStatusTimeout = time.Second
 
-// maxPageBytes is the maximum size of a decompressed page: 20 configurations of the largest size
+// maxUpdateBytes is the maximum size of a decompressed page: 20 configurations of the largest size
 // that the store accepts.
-const maxPageBytes = 20 << 20
+const maxUpdateBytes = 20 << 20
 
 // publisher is the part of a Server that sends changes of the store to subscribers.
 type publisher struct {
@@ -99,9 +99,9 @@
 
 	mu      sync.Mutex
 	wakeups map[*serverConn]chan struct{}
-	// cachedPage is the last encoded page, from cachedFrom to cachedTo: many subscribers have the
+	// cachedUpdate is the last encoded page, from cachedFrom to cachedTo: many subscribers have the
 	// same position.
-	cachedPage           []byte
+	cachedUpdate         []byte
 	cachedFrom, cachedTo feed.Position
 	cachedFull           bool
 }
@@ -176,20 +176,20 @@
 // sendUpdates sends the changes after sent and the status. It returns the position up to which the
 // peer has received the changes.
 func (f *publisher) sendUpdates(c *serverConn, sent feed.Position) (feed.Position, error) {
-	if f.store.HasSnapshot() && f.store.Position().After(sent) {
-		page := f.store.ChangesSince(sent)
-		raw, err := f.encodePage(page)
+	if f.store.Synced() && f.store.Position().After(sent) {
+		update := f.store.ChangesSince(sent)
+		raw, err := f.encodeUpdate(update)
 		if err != nil {
 			return sent, err
 		}
-		if err := c.write(kindPage, raw); err != nil {
+		if err := c.write(kindUpdate, raw); err != nil {
 			return sent, err
 		}
-		sent = page.To
+		sent = update.To
 	}
 	// The ages are read first, so that the position is not older than the answers.
 	status := feedStatus{AgeMs: ageMs(f.store.ConfirmedAt()), OwnAgeMs: ageMs(f.store.AnsweredAt())}
-	if !f.store.HasSnapshot() {
+	if !f.store.Synced() {
 		status.AgeMs = ageUnknown
 	}
 	status.At = f.store.Position()
@@ -197,12 +197,12 @@
 	return sent, c.write(kindFeedStatus, status)
 }
 
-// encodePage encodes and compresses a page. Entries resemble each other and compress well.
-func (f *publisher) encodePage(p feed.Update) ([]byte, error) {
+// encodeUpdate encodes and compresses a page. Entries resemble each other and compress well.
+func (f *publisher) encodeUpdate(p feed.Update) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cachedPage != nil && f.cachedFrom == p.From && f.cachedTo == p.To && f.cachedFull == p.Full && p.RecoveredMsAgo == 0 {
-		return f.cachedPage, nil
+	if f.cachedUpdate != nil && f.cachedFrom == p.From && f.cachedTo == p.To && f.cachedFull == p.Full && p.RecoveredMsAgo == 0 {
+		return f.cachedUpdate, nil
 	}
 	raw, err := cbor.Marshal(p)
 	if err != nil {
@@ -220,16 +220,16 @@
 		return nil, err
 	}
 	if p.RecoveredMsAgo == 0 {
-		f.cachedPage, f.cachedFrom, f.cachedTo, f.cachedFull = out.Bytes(), p.From, p.To, p.Full
+		f.cachedUpdate, f.cachedFrom, f.cachedTo, f.cachedFull = out.Bytes(), p.From, p.To, p.Full
 	}
 	return out.Bytes(), nil
 }
 
-// decodePage is the inverse of encodePage.
-func decodePage(raw []byte) (feed.Update, error) {
+// decodeUpdate is the inverse of encodePage.
+func decodeUpdate(raw []byte) (feed.Update, error) {
 	var p feed.Update
 	r := flate.NewReader(bytes.NewReader(raw))
-	all, err := io.ReadAll(io.LimitReader(r, maxPageBytes))
+	all, err := io.ReadAll(io.LimitReader(r, maxUpdateBytes))
 	if err != nil {
 		return p, err
 	}
--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -19,7 +19,7 @@
 	table := quarantine.NewTable()
 	b.server.SetQuarantine(table)
 	m := newTestBatch(time.Second, leafCalls("a", "b"))
-	table.Merge(quarantine.Report{Key: textCodec{}.Key(m.Request.Content), EndIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
+	table.Merge(quarantine.Report{Key: textCodec{}.Key(m.Request.Content), CrashIDs: []uint64{1, 2, 3}, RemainingMs: 60000}, time.Now())
 	got := make(replySink, 4)
 	_, ok := b.conn.sendBatch(m, got.take)
 	require.True(t, ok)
@@ -35,10 +35,10 @@
 // The crash of a leaf during a call through a peer is reported to the instance that runs the query.
 func TestLeafCrashIsReportedThroughPeer(t *testing.T) {
 	b := newServerFixture(t, func(context.Context, gateway.LeafCall) gateway.LeafReply {
-		return gateway.LeafReply{Outcome: replica.ProcessExited}
+		return gateway.LeafReply{Outcome: replica.LeafCrashed}
 	})
 	got := make(replySink, 4)
 	_, ok := b.conn.sendBatch(newTestBatch(time.Second, leafCalls("a")), got.take)
 	require.True(t, ok)
-	require.Equal(t, replica.ProcessExited, (<-got)[0].Reply.Outcome)
+	require.Equal(t, replica.LeafCrashed, (<-got)[0].Reply.Outcome)
 }
--- a/pkg/peers/query_test.go
+++ b/pkg/peers/query_test.go
@@ -77,7 +77,7 @@
 		return partialAnswer(), true
 	})
 	for range 2 {
-		a, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+		a, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 		require.True(t, ok)
 		require.Equal(t, errcode.OK, a.Code)
 		require.Equal(t, 1, a.Missing())
@@ -91,7 +91,7 @@
 		}
 		return refused, true
 	})
-	a, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+	a, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 	require.True(t, ok)
 	require.Equal(t, refused.Code, a.Code)
 	require.Equal(t, refused.RetryAfter, a.RetryAfter)
@@ -102,10 +102,10 @@
 	b := newQueryFixture(t, func(context.Context, *gateway.Request, int64, func() bool) (gateway.Answer, bool) {
 		return gateway.Answer{}, false
 	})
-	_, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+	_, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 	require.False(t, ok)
 	b.conn.closeWithError(net.ErrClosed)
-	_, ok = b.agent.Delegate(t.Context(), newGatherQuery())
+	_, ok = b.agent.HandOff(t.Context(), newGatherQuery())
 	require.False(t, ok, "without a usable peer the query is left to this instance")
 }
 
@@ -143,10 +143,10 @@
 	c := b.dial(ln.Addr().String())
 	c.onTimeout = b.agent.handleTimeout
 	b.agent.conns["peer"] = c
-	_, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+	_, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 	require.False(t, ok)
 	require.Contains(t, b.agent.avoidUntil, "peer")
-	_, ok = b.agent.Delegate(t.Context(), newGatherQuery())
+	_, ok = b.agent.HandOff(t.Context(), newGatherQuery())
 	require.False(t, ok, "the peer must be avoided after a timeout")
 	close(wake)
 	require.NoError(t, c.conn.(*net.TCPConn).CloseWrite())
@@ -178,7 +178,7 @@
 				<-started
 				lose(b)
 			}()
-			a, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+			a, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 			require.True(t, ok)
 			require.Equal(t, errcode.PeerLost, a.Code)
 			require.False(t, a.Code.NotRun())
@@ -213,7 +213,7 @@
 		}
 		return partialAnswer(), true
 	})
-	_, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+	_, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 	require.True(t, ok)
 	require.Contains(t, b.conn.lastFrameAt.Load().String(), " m=+", "the time must have a monotonic reading")
 	require.Less(t, b.conn.sinceLastFrame(time.Now()), time.Minute)
@@ -228,7 +228,7 @@
 		time.Sleep(2 * heartbeatTimeout)
 		return partialAnswer(), true
 	})
-	a, ok := b.agent.Delegate(t.Context(), newGatherQuery())
+	a, ok := b.agent.HandOff(t.Context(), newGatherQuery())
 	require.True(t, ok)
 	require.Equal(t, errcode.OK, a.Code)
 }
@@ -247,7 +247,7 @@
 		close(ended)
 		return gateway.Answer{}, true
 	})
-	a, ok := b.agent.Delegate(ctx, newGatherQuery())
+	a, ok := b.agent.HandOff(ctx, newGatherQuery())
 	require.True(t, ok)
 	require.Equal(t, errcode.CallerDisconnected, a.Code)
 	<-ended
--- a/pkg/peers/queryclient.go
+++ b/pkg/peers/queryclient.go
@@ -157,8 +157,8 @@
 	p.log.Decision("query_taken_late", oplog.Fields{"request": request, "peer": c.peer.Name})
 }
 
-// Delegate implements gateway.Gatherers.
-func (p *Peers) Delegate(ctx context.Context, q gateway.GatherQuery) (gateway.Answer, bool) {
+// HandOff implements gateway.Gatherers.
+func (p *Peers) HandOff(ctx context.Context, q gateway.GatherQuery) (gateway.Answer, bool) {
 	c := p.gathererConn(time.Now())
 	if c == nil {
 		return gateway.Answer{}, false
--- a/pkg/peers/queryserver.go
+++ b/pkg/peers/queryserver.go
@@ -84,7 +84,7 @@
 		Arrived: now.Add(-micros(q.AgeUs)), NetworkDelay: micros(q.TransitUs), Timeout: micros(q.CallerTimeoutUs),
 	}
 	ctx, cancel := c.register(q.Number)
-	h := c.registerHandover(q.Number)
+	h := c.registerHandoff(q.Number)
 	return func() {
 		defer c.unregister(q.Number)
 		defer cancel()
@@ -94,7 +94,7 @@
 
 // runQuery runs a query that was received at the given time, and sends its answer. A failed write
 // closes the connection, which tells the requesting peer that the query is lost.
-func (c *serverConn) runQuery(ctx context.Context, q query, h *handover, req *gateway.Request, receivedAt time.Time) {
+func (c *serverConn) runQuery(ctx context.Context, q query, h *handoff, req *gateway.Request, receivedAt time.Time) {
 	c.s.inFlight.Add(1)
 	defer c.s.inFlight.Add(-1)
 	if c.s.queries == nil || ctx.Err() != nil {
@@ -125,7 +125,7 @@
 
 // waitForGrant waits until the query is granted. It returns false if the query is cancelled, the
 // connection is closed or grantTimeout expires.
-func (c *serverConn) waitForGrant(ctx context.Context, h *handover) bool {
+func (c *serverConn) waitForGrant(ctx context.Context, h *handoff) bool {
 	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
@@ -137,12 +137,12 @@
 	return false
 }
 
-// registerHandover registers a query that waits for its grant.
-func (c *serverConn) registerHandover(number uint64) *handover {
-	h := newHandover()
+// registerHandoff registers a query that waits for its grant.
+func (c *serverConn) registerHandoff(number uint64) *handoff {
+	h := newHandoff()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handovers[number] = h
+	c.handoffs[number] = h
 	return h
 }
 
@@ -150,7 +150,7 @@
 func (c *serverConn) handleGrant(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.handovers[number]; h != nil {
+	if h := c.handoffs[number]; h != nil {
 		h.grant()
 	}
 }
--- a/pkg/peers/serverconn.go
+++ b/pkg/peers/serverconn.go
@@ -34,8 +34,8 @@
 	mu sync.Mutex
 	// cancels cancel the open batches and queries, by number.
 	cancels map[uint64]context.CancelFunc
-	// handovers are the queries that wait for a grant or are running, by number.
-	handovers map[uint64]*handover
+	// handoffs are the queries that wait for a grant or are running, by number.
+	handoffs map[uint64]*handoff
 }
 
 // helloDone removes the connection from those that await a hello frame. Only the first call has an
@@ -61,7 +61,7 @@
 	c := &serverConn{
 		s: s, conn: conn, ctx: ctx, w: bufio.NewWriter(conn),
 		texts: textDecoder{texts: make(map[uint16]string)}, cancels: make(map[uint64]context.CancelFunc),
-		handovers: make(map[uint64]*handover),
+		handoffs: make(map[uint64]*handoff),
 	}
 	err := c.read(bufio.NewReader(conn))
 	c.helloDone()
@@ -166,7 +166,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.cancels, number)
-	delete(c.handovers, number)
+	delete(c.handoffs, number)
 }
 
 // cancel cancels a batch or query whose reply is no longer needed.
--- a/pkg/peers/subscriber.go
+++ b/pkg/peers/subscriber.go
@@ -49,7 +49,7 @@
 		return nil
 	}
 	store := p.subscriber.store
-	if p.roles.localPeers+1 < feed.MinMembers && (store.HasSnapshot() || !p.subscriber.firstStart && p.roles.usablePeers > 0) {
+	if p.roles.localPeers+1 < feed.MinMembers && (store.Synced() || !p.subscriber.firstStart && p.roles.usablePeers > 0) {
 		local := append(p.availableNames(p.roles.behind, now), p.availableNames(p.roles.ahead, now)...)
 		publishers := append(local[:min(len(local), feed.ReadersPerZone)], p.remoteReaders(now)...)
 		store.SetReading(true, p.readerGroup(publishers, now))
@@ -58,7 +58,7 @@
 	publishers, read := p.subscriber.plan.Decide(feed.View{
 		Ahead: p.availableNames(p.roles.ahead, now), Behind: p.availableNames(p.roles.behind, now),
 		LastAnswered: func(name string) time.Time { return p.subscriber.lastAnswer(name, now) },
-		OwnAnswered:  store.AnsweredAt(), Synced: store.HasSnapshot(),
+		OwnAnswered:  store.AnsweredAt(), Synced: store.Synced(),
 	}, now)
 	if read {
 		publishers = append(publishers, p.remoteReaders(now)...)
@@ -71,7 +71,7 @@
 // the store: through them a zone that gets no answers from the store still learns of changes. An
 // instance without a snapshot gets it from its own zone where possible. mu must be held.
 func (p *Peers) remoteReaders(now time.Time) []string {
-	if !p.subscriber.store.HasSnapshot() && p.roles.localPeers > 0 {
+	if !p.subscriber.store.Synced() && p.roles.localPeers > 0 {
 		return nil
 	}
 	return p.availableNames(p.roles.remoteReaders, now)
@@ -224,19 +224,19 @@
 	}
 }
 
-// handlePage applies the changes that a publisher has sent. Invalid pages are dropped.
-func (p *Peers) handlePage(c *clientConn, raw []byte) error {
+// handleUpdate applies the changes that a publisher has sent. Invalid pages are dropped.
+func (p *Peers) handleUpdate(c *clientConn, raw []byte) error {
 	encoded, err := decode[[]byte](raw)
 	if err != nil {
 		return err
 	}
-	page, err := decodePage(encoded)
+	update, err := decodeUpdate(encoded)
 	if err == nil {
-		err = p.subscriber.store.ApplyPage(page)
+		err = p.subscriber.store.ApplyUpdate(update)
 	}
 	if err != nil {
 		p.log.Decision("feed_page_refused", oplog.Fields{
-			"peer": c.peer.Name, "from": page.From.Revision, "era": page.To.Era, "to": page.To.Revision, "entries": len(page.Items), "error": err.Error(),
+			"peer": c.peer.Name, "from": update.From.Revision, "era": update.To.Era, "to": update.To.Revision, "entries": len(update.Items), "error": err.Error(),
 		})
 	}
 	return nil
--- a/pkg/peers/subscriber_test.go
+++ b/pkg/peers/subscriber_test.go
@@ -22,14 +22,14 @@
 
 // memStore is a Store that keeps a feed.Cache in memory.
 type memStore struct {
-	mu            sync.Mutex
-	book          *feed.Cache
-	asOf          time.Time
-	answeredAt    time.Time
-	confirmedAt   time.Time
-	group         longpoll.PeerGroup
-	reading       bool
-	rejectedPages int
+	mu              sync.Mutex
+	book            *feed.Cache
+	asOf            time.Time
+	answeredAt      time.Time
+	confirmedAt     time.Time
+	group           longpoll.PeerGroup
+	reading         bool
+	rejectedUpdates int
 	// positionChecks is the number of calls of ResetIfContradicted.
 	positionChecks int
 }
@@ -46,7 +46,7 @@
 func (m *memStore) ChangesSince(after feed.Position) feed.Update {
 	return locked(m, func() feed.Update { return m.book.Since(after, time.Now()) })
 }
-func (m *memStore) HasSnapshot() bool        { return locked(m, m.book.Synced) }
+func (m *memStore) Synced() bool             { return locked(m, m.book.Synced) }
 func (m *memStore) Position() feed.Position  { return locked(m, m.book.Position) }
 func (m *memStore) ConfirmedAt() time.Time   { return locked(m, func() time.Time { return m.asOf }) }
 func (m *memStore) AnsweredAt() time.Time    { return locked(m, func() time.Time { return m.answeredAt }) }
@@ -61,11 +61,11 @@
 	return locked(m, func() bool { m.positionChecks++; return false })
 }
 
-func (m *memStore) ApplyPage(p feed.Update) error {
+func (m *memStore) ApplyUpdate(p feed.Update) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := errors.Join(p.Validate(), m.book.CheckApplicable(p)); err != nil {
-		m.rejectedPages++
+		m.rejectedUpdates++
 		return err
 	}
 	m.book.Apply(p)
@@ -96,7 +96,7 @@
 func (b *feedFixture) attach(c *clientConn) {
 	b.agent.mu.Lock()
 	defer b.agent.mu.Unlock()
-	c.onFeedStatus, c.onPage = b.agent.handleFeedStatus, b.agent.handlePage
+	c.onFeedStatus, c.onUpdate = b.agent.handleFeedStatus, b.agent.handleUpdate
 	b.agent.conns["peer"] = c
 }
 
@@ -127,7 +127,7 @@
 	b := newFeedFixture(t)
 	b.publishEntry("a", 4)
 	b.subscribe()
-	b.eventually(func() bool { return b.local.HasSnapshot() && b.local.Position() == pos(4) })
+	b.eventually(func() bool { return b.local.Synced() && b.local.Position() == pos(4) })
 	for revision := int64(5); revision < 20; revision++ {
 		b.publishEntry("b", revision)
 		b.eventually(func() bool { return b.local.Position() == pos(revision) })
@@ -173,7 +173,7 @@
 		defer b.agent.mu.Unlock()
 		return !b.agent.subscriber.statuses["peer"].receivedAt.IsZero()
 	})
-	require.False(t, b.local.HasSnapshot())
+	require.False(t, b.local.Synced())
 	require.Zero(t, b.local.ConfirmedAt())
 	require.True(t, b.agent.subscriber.lastAnswer("peer", time.Now()).IsZero())
 }
@@ -181,10 +181,10 @@
 // Guards against one faulty instance taking down others: it claims an impossible revision, or sends
 // a page that cannot be decompressed or has inconsistent positions. Such pages are dropped, valid
 // pages of the same peer are still applied, and a frame that is too large closes the connection.
-func TestInvalidPagesAreDropped(t *testing.T) {
+func TestInvalidUpdatesAreDropped(t *testing.T) {
 	b := newFeedFixture(t)
 	packed := func(p feed.Update) []byte {
-		raw, err := (&publisher{}).encodePage(p)
+		raw, err := (&publisher{}).encodeUpdate(p)
 		require.NoError(t, err)
 		return raw
 	}
@@ -199,7 +199,7 @@
 		}
 		w := bufio.NewWriter(conn)
 		for raw := range frames {
-			_ = writeFrame(w, kindPage, raw)
+			_ = writeFrame(w, kindUpdate, raw)
 		}
 		_, _ = conn.Write(bytes.Repeat([]byte{0xff}, 9)) // A frame size that exceeds the limit.
 		_, _ = conn.Write([]byte{0x01})
@@ -211,7 +211,7 @@
 	frames <- packed(feed.Update{From: pos(3), To: pos(9), Items: []feed.Item{{Key: "x", At: pos(12)}}})
 	frames <- packed(feed.Update{Full: true, To: pos(9), Items: []feed.Item{{Key: "x", At: pos(9)}}})
 	b.eventually(func() bool { return b.local.Position() == pos(9) })
-	require.Equal(t, 2, b.local.rejectedPages)
+	require.Equal(t, 2, b.local.rejectedUpdates)
 	close(frames)
 	require.ErrorIs(t, <-b.ended, errFrameSize)
 }
--- a/pkg/quarantine/change.go
+++ b/pkg/quarantine/change.go
@@ -16,7 +16,7 @@
 // Fields returns the fields of the log line for the change.
 func (c VerdictChange) Fields() oplog.Fields {
 	return oplog.Fields{
-		"content": c.Key.String(), "was": c.From.String(), "leafs_ended": c.LeafsEnded, "service": c.Service,
+		"content": c.Key.String(), "was": c.From.String(), "leafs_ended": c.LeafsCrashed, "service": c.Service,
 		"trials": c.Trials, "quarantined_ms": c.QuarantinedFor.Milliseconds(),
 	}
 }
--- a/pkg/quarantine/dump.go
+++ b/pkg/quarantine/dump.go
@@ -9,15 +9,15 @@
 type State struct {
 	Content string `json:"content"`
 	Verdict string `json:"verdict"`
-	// LeafsEnded is the number of leafs whose process ended while they had the request, of which
+	// LeafsCrashed is the number of leafs whose process ended while they had the request, of which
 	// at most four are remembered. Service is the shard of the last one.
-	LeafsEnded int    `json:"leafs_ended"`
-	Service    string `json:"service"`
-	Trials     int    `json:"trials"`
+	LeafsCrashed int    `json:"leafs_ended"`
+	Service      string `json:"service"`
+	Trials       int    `json:"trials"`
 	// RemainingMs is the time left of the quarantine; zero means that the request is not
 	// quarantined. SinceLastEndMs is the time since a leaf last ended.
-	RemainingMs    int64 `json:"left_ms"`
-	SinceLastEndMs int64 `json:"quiet_ms"`
+	RemainingMs      int64 `json:"left_ms"`
+	SinceLastCrashMs int64 `json:"quiet_ms"`
 }
 
 // Dump returns the requests that are suspected or quarantined, those with the most recent end
@@ -29,14 +29,14 @@
 	for k, r := range t.records {
 		if v := r.verdict(now); v != Sound {
 			out = append(out, State{
-				Content: k.String(), Verdict: v.String(), LeafsEnded: len(r.endIDs),
+				Content: k.String(), Verdict: v.String(), LeafsCrashed: len(r.crashIDs),
 				Service: r.service, Trials: r.trials,
-				RemainingMs:    max(r.quarantinedUntil.Sub(now), 0).Milliseconds(),
-				SinceLastEndMs: now.Sub(r.lastEnd).Milliseconds(),
+				RemainingMs:      max(r.quarantinedUntil.Sub(now), 0).Milliseconds(),
+				SinceLastCrashMs: now.Sub(r.lastCrash).Milliseconds(),
 			})
 		}
 	}
-	slices.SortFunc(out, func(a, b State) int { return int(a.SinceLastEndMs - b.SinceLastEndMs) })
+	slices.SortFunc(out, func(a, b State) int { return int(a.SinceLastCrashMs - b.SinceLastCrashMs) })
 	return out
 }
 
--- a/pkg/quarantine/fleetsim_test.go
+++ b/pkg/quarantine/fleetsim_test.go
@@ -64,12 +64,12 @@
 	attempts         int
 	// incarnations is how often each leaf has ended, and endedAt when it last did.
 	incarnations [simShards * simReplicas]int
-	endedAt      [simShards * simReplicas]time.Time
-	// thirdEndAt is when the third leaf ended. lateRetries counts the retries after it that
+	crashedAt    [simShards * simReplicas]time.Time
+	// thirdCrashAt is when the third leaf ended. lateRetries counts the retries after it that
 	// converged instances sent to leafs.
-	thirdEndAt  time.Time
-	leafsEnded  int
-	lateRetries int
+	thirdCrashAt time.Time
+	leafsCrashed int
+	lateRetries  int
 	// served and refused count the attempts of the harmless request, which arrives at the same
 	// rate.
 	served, refused int
@@ -156,7 +156,7 @@
 		at = append(at, shard*simReplicas+s.rng.IntN(simReplicas))
 	}
 	s.attempts++
-	if crashing && s.leafsEnded >= 3 && s.now.Sub(s.thirdEndAt) > simConvergenceTime && s.converged(i) {
+	if crashing && s.leafsCrashed >= 3 && s.now.Sub(s.thirdCrashAt) > simConvergenceTime && s.converged(i) {
 		s.lateRetries++
 	}
 	s.inFlight = append(s.inFlight, simRequest{
@@ -181,33 +181,33 @@
 		}
 		for _, leaf := range r.leafs {
 			s.incarnations[leaf]++
-			s.endedAt[leaf] = s.now
-			s.leafsEnded++
-			s.recordLeafEnd(r, crashing, leaf)
+			s.crashedAt[leaf] = s.now
+			s.leafsCrashed++
+			s.recordLeafCrash(r, crashing, leaf)
 		}
-		if s.leafsEnded >= 3 && s.thirdEndAt.IsZero() {
-			s.thirdEndAt = s.now
+		if s.leafsCrashed >= 3 && s.thirdCrashAt.IsZero() {
+			s.thirdCrashAt = s.now
 		}
 		if r.trial {
-			s.tables[r.instance].RecordTrial(crashing, LeafEnded, s.now)
+			s.tables[r.instance].RecordTrial(crashing, LeafCrashed, s.now)
 		}
 	}
 	s.inFlight = left
 }
 
-// recordLeafEnd makes an instance record that a leaf ended.
-func (s *sim) recordLeafEnd(r simRequest, k Key, leaf int) {
+// recordLeafCrash makes an instance record that a leaf ended.
+func (s *sim) recordLeafCrash(r simRequest, k Key, leaf int) {
 	name := fmt.Sprint(leaf, "/", s.incarnations[leaf])
-	s.tables[r.instance].RecordLeafEnd(k, fmt.Sprint(r.attempt), name, "s", r.began, s.now)
+	s.tables[r.instance].RecordLeafCrash(k, fmt.Sprint(r.attempt), name, "s", r.began, s.now)
 }
 
 // completeHarmless records the outcome of the harmless request.
 func (s *sim) completeHarmless(r simRequest, k Key) {
 	trial := Answered
 	for _, leaf := range r.leafs {
-		if s.endedAt[leaf].After(r.began) {
-			trial = LeafEnded
-			s.recordLeafEnd(r, k, leaf)
+		if s.crashedAt[leaf].After(r.began) {
+			trial = LeafCrashed
+			s.recordLeafCrash(r, k, leaf)
 		}
 	}
 	if trial == Answered {
@@ -257,18 +257,18 @@
 // network that loses a fifth of the datagrams, with restarts and partitions, send it to leafs
 // three more times at most. A harmless request in flight at the same leafs is served.
 func TestFleetLimitsRetriesOfCrashingRequest(t *testing.T) {
-	served, refused, ended, maxRetries := 0, 0, 0, 0
+	served, refused, crashed, maxRetries := 0, 0, 0, 0
 	for seed := range uint64(300) {
 		s := newSim(t, seed)
 		s.run()
 		require.LessOrEqual(t, s.lateRetries, 3,
-			"seed %d: retries with %d instances; %d leafs ended", seed, len(s.tables), s.leafsEnded)
+			"seed %d: retries with %d instances; %d leafs ended", seed, len(s.tables), s.leafsCrashed)
 		require.Greater(t, s.served, 3*s.refused,
 			"seed %d: the harmless request is served all day except during one quarantine", seed)
-		served, refused, ended, maxRetries =
-			served+s.served, refused+s.refused, ended+s.leafsEnded, max(maxRetries, s.lateRetries)
+		served, refused, crashed, maxRetries =
+			served+s.served, refused+s.refused, crashed+s.leafsCrashed, max(maxRetries, s.lateRetries)
 	}
 	require.Less(t, 100*refused, served, "over all days, less than one in a hundred harmless requests is refused")
 	t.Logf("harmless requests: %d served, %d refused; %d leafs ended in 300 days, at most %d retries",
-		served, refused, ended, maxRetries)
+		served, refused, crashed, maxRetries)
 }
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -31,9 +31,9 @@
 	recordTTL = 10 * time.Minute
 	// maxRecords is the maximum number of requests that are remembered; they take about 1 MB.
 	maxRecords = 4096
-	// maxEndIDs is the maximum number of ends that are remembered for a request. More would not
+	// maxCrashIDs is the maximum number of ends that are remembered for a request. More would not
 	// change the verdict.
-	maxEndIDs = 4
+	maxCrashIDs = 4
 	// sweepInterval is the interval at which expired records are removed.
 	sweepInterval = 10 * time.Second
 	// trialTimeout is the maximum duration of a trial. It is longer than callers wait.
@@ -64,13 +64,13 @@
 
 // record is what is known about one request.
 type record struct {
-	// endIDs identify the ends of leafs that had the request, so that they can be merged with
+	// crashIDs identify the ends of leafs that had the request, so that they can be merged with
 	// those that other instances saw.
-	endIDs []uint64
+	crashIDs []uint64
 	// leaf is the leaf that ended last; it belongs to service.
 	leaf, service string
-	// lastEnd is the time at which a leaf ended last.
-	lastEnd time.Time
+	// lastCrash is the time at which a leaf ended last.
+	lastCrash time.Time
 	// trials is the number of trials that ended a leaf. unresolved is the number of consecutive
 	// trials without a result.
 	trials, unresolved int
@@ -87,18 +87,18 @@
 		return Sound
 	case now.Before(r.quarantinedUntil):
 		return Quarantined
-	case len(r.endIDs) >= suspectThreshold:
+	case len(r.crashIDs) >= suspectThreshold:
 		return Suspect
 	}
 	return Sound
 }
 
-// addEnd adds the ID of an end, and reports whether it was new and is remembered.
-func (r *record) addEnd(id uint64) bool {
-	if len(r.endIDs) >= maxEndIDs || slices.Contains(r.endIDs, id) {
+// addCrash adds the ID of an end, and reports whether it was new and is remembered.
+func (r *record) addCrash(id uint64) bool {
+	if len(r.crashIDs) >= maxCrashIDs || slices.Contains(r.crashIDs, id) {
 		return false
 	}
-	r.endIDs = append(r.endIDs, id)
+	r.crashIDs = append(r.crashIDs, id)
 	return true
 }
 
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -13,11 +13,11 @@
 // another version reads the fields that it knows.
 type Report struct {
 	Key Key `cbor:"1,keyasint" json:"key"`
-	// EndIDs identify the ends of leafs that had the request. The last one was a leaf of Service
+	// CrashIDs identify the ends of leafs that had the request. The last one was a leaf of Service
 	// and happened AgeMs ago.
-	EndIDs  []uint64 `cbor:"2,keyasint,omitempty" json:"ends,omitempty"`
-	Service string   `cbor:"3,keyasint,omitempty" json:"service,omitempty"`
-	AgeMs   uint32   `cbor:"4,keyasint,omitempty" json:"age_ms,omitempty"`
+	CrashIDs []uint64 `cbor:"2,keyasint,omitempty" json:"ends,omitempty"`
+	Service  string   `cbor:"3,keyasint,omitempty" json:"service,omitempty"`
+	AgeMs    uint32   `cbor:"4,keyasint,omitempty" json:"age_ms,omitempty"`
 	// Trials is the number of trials that ended a leaf. RemainingMs is the time left of the
 	// quarantine.
 	Trials      uint8  `cbor:"5,keyasint,omitempty" json:"trials,omitempty"`
@@ -100,8 +100,8 @@
 // report returns the record as a report for other instances.
 func (r *record) report(k Key, now time.Time) Report {
 	return Report{
-		Key: k, EndIDs: slices.Clone(r.endIDs), Service: r.service[:min(len(r.service), maxServiceBytes)],
-		AgeMs:  millis(now.Sub(r.lastEnd)),
+		Key: k, CrashIDs: slices.Clone(r.crashIDs), Service: r.service[:min(len(r.service), maxServiceBytes)],
+		AgeMs:  millis(now.Sub(r.lastCrash)),
 		Trials: uint8(min(r.trials, len(quarantineDurations))), RemainingMs: millis(r.quarantinedUntil.Sub(now)),
 	}
 }
@@ -137,33 +137,33 @@
 // Merge adds what another instance reports about a request, and returns the resulting change of
 // its verdict. The ends that two instances have seen are added up.
 func (t *Table) Merge(report Report, now time.Time) VerdictChange {
-	lastEnd := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
-	if report.Key == (Key{}) || now.Sub(lastEnd) > recordTTL+quarantineDurations[len(quarantineDurations)-1] {
+	eventAt := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
+	if report.Key == (Key{}) || now.Sub(eventAt) > recordTTL+quarantineDurations[len(quarantineDurations)-1] {
 		return VerdictChange{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from := t.records[report.Key].verdict(now)
 	if report.Cleared {
-		if r := t.records[report.Key]; r != nil && !r.lastEnd.After(lastEnd) {
+		if r := t.records[report.Key]; r != nil && !r.lastCrash.After(eventAt) {
 			t.deleteRecord(report.Key)
 		}
 		return t.verdictChange(report.Key, from, now)
 	}
 	left := min(time.Duration(report.RemainingMs)*time.Millisecond, t.maxDuration)
-	t.record(report.Key, now).merge(report, lastEnd, now.Add(left))
+	t.record(report.Key, now).merge(report, eventAt, now.Add(left))
 	return t.verdictChange(report.Key, from, now)
 }
 
 // merge adds a report to the record. lastEnd is when the reported last end happened, and until is
 // the end of the reported quarantine.
-func (r *record) merge(report Report, lastEnd, until time.Time) {
-	fresh := len(r.endIDs) == 0
-	for _, id := range report.EndIDs {
-		r.addEnd(id)
+func (r *record) merge(report Report, lastCrash, until time.Time) {
+	fresh := len(r.crashIDs) == 0
+	for _, id := range report.CrashIDs {
+		r.addCrash(id)
 	}
-	if fresh || lastEnd.After(r.lastEnd) {
-		r.lastEnd = lastEnd
+	if fresh || lastCrash.After(r.lastCrash) {
+		r.lastCrash = lastCrash
 		r.service = report.Service[:min(len(report.Service), maxServiceBytes)]
 		r.leaf = ""
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -36,8 +36,8 @@
 
 // Counts are counters of events since the start.
 type Counts struct {
-	// LeafsEnded counts the ends of leafs that had requests of this instance.
-	LeafsEnded atomic.Int64
+	// LeafsCrashed counts the ends of leafs that had requests of this instance.
+	LeafsCrashed atomic.Int64
 	// Trials counts the requests that were tried at one leaf.
 	Trials atomic.Int64
 	// Cleared counts the suspected requests that a leaf has answered.
@@ -66,11 +66,11 @@
 type VerdictChange struct {
 	Key      Key
 	From, To Verdict
-	// LeafsEnded is the number of leafs that ended while they had the request, as far as
+	// LeafsCrashed is the number of leafs that ended while they had the request, as far as
 	// remembered. Service is the shard of the last one.
-	LeafsEnded int
-	Service    string
-	Trials     int
+	LeafsCrashed int
+	Service      string
+	Trials       int
 	// QuarantinedFor is the time left of the quarantine.
 	QuarantinedFor time.Duration
 }
@@ -84,8 +84,8 @@
 	r := t.records[k]
 	change := VerdictChange{Key: k, From: from, To: r.verdict(now)}
 	if r != nil {
-		change.LeafsEnded, change.Service, change.Trials, change.QuarantinedFor =
-			len(r.endIDs), r.service, r.trials, max(r.quarantinedUntil.Sub(now), 0)
+		change.LeafsCrashed, change.Service, change.Trials, change.QuarantinedFor =
+			len(r.crashIDs), r.service, r.trials, max(r.quarantinedUntil.Sub(now), 0)
 	}
 	return change
 }
@@ -147,23 +147,23 @@
 	return Admission{}
 }
 
-// RecordLeafEnd records that a leaf of a service ended while it had an attempt of a request that
+// RecordLeafCrash records that a leaf of a service ended while it had an attempt of a request that
 // was sent to it at began. If the leaf had several attempts of the request when it ended, they
 // count once.
-func (t *Table) RecordLeafEnd(k Key, attempt, leaf, service string, began, now time.Time) VerdictChange {
+func (t *Table) RecordLeafCrash(k Key, attempt, leaf, service string, began, now time.Time) VerdictChange {
 	if k == (Key{}) {
 		return VerdictChange{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counts.LeafsEnded.Add(1)
+	t.counts.LeafsCrashed.Add(1)
 	r := t.record(k, now)
 	from := r.verdict(now)
-	if r.leaf == leaf && !began.After(r.lastEnd) {
+	if r.leaf == leaf && !began.After(r.lastCrash) {
 		return t.verdictChange(k, from, now)
 	}
-	r.leaf, r.service, r.lastEnd = leaf, service, now
-	if r.addEnd(xxhash.Sum64String(leaf + " " + attempt)) {
+	r.leaf, r.service, r.lastCrash = leaf, service, now
+	if r.addCrash(xxhash.Sum64String(leaf + " " + attempt)) {
 		t.queueReport(k, false, now)
 	}
 	return t.verdictChange(k, from, now)
@@ -177,8 +177,8 @@
 	Unsent TrialOutcome = iota
 	// Answered means that a leaf answered the request.
 	Answered
-	// LeafEnded means that the leaf ended.
-	LeafEnded
+	// LeafCrashed means that the leaf ended.
+	LeafCrashed
 	// Unresolved means that the leaf received the request, but neither answered nor ended.
 	Unresolved
 )
@@ -202,7 +202,7 @@
 		t.deleteRecord(k)
 		t.queueReport(k, true, now)
 		return t.verdictChange(k, from, now)
-	case LeafEnded:
+	case LeafCrashed:
 		r.unresolved = 0
 		r.quarantinedUntil = now.Add(min(t.quarantineDuration(r, now), t.maxDuration))
 		r.trials++
@@ -233,7 +233,7 @@
 	if len(t.records) >= maxRecords {
 		t.evict(now)
 	}
-	r = &record{lastEnd: now}
+	r = &record{lastCrash: now}
 	t.records[k] = r
 	t.recordCount.Store(int64(len(t.records)))
 	return r
@@ -255,7 +255,7 @@
 func (t *Table) evict(now time.Time) {
 	keys := slices.SortedFunc(maps.Keys(t.records), func(a, b Key) int {
 		x, y := t.records[a], t.records[b]
-		return cmp.Or(cmp.Compare(x.verdict(now), y.verdict(now)), x.lastEnd.Compare(y.lastEnd))
+		return cmp.Or(cmp.Compare(x.verdict(now), y.verdict(now)), x.lastCrash.Compare(y.lastCrash))
 	})
 	for _, k := range keys[:len(keys)/evictDivisor] {
 		t.deleteRecord(k)
@@ -274,7 +274,7 @@
 	}
 	t.lastSweep = now
 	for k, r := range t.records {
-		if now.Sub(later(r.lastEnd, r.quarantinedUntil)) > recordTTL {
+		if now.Sub(later(r.lastCrash, r.quarantinedUntil)) > recordTTL {
 			t.deleteRecord(k)
 		}
 	}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -24,24 +24,24 @@
 func tableWithSuspect() (*Table, Key) {
 	t, k := NewTable(), key(0)
 	for _, leaf := range []string{"a", "b"} {
-		t.RecordLeafEnd(k, "first", leaf, "s", epoch, at(10*time.Millisecond))
+		t.RecordLeafCrash(k, "first", leaf, "s", epoch, at(10*time.Millisecond))
 	}
 	return t, k
 }
 
 // A request during which leafs ended is tried at one leaf, and quarantined if that leaf ends,
 // too.
-func TestRequestThatEndsLeafsIsQuarantined(t *testing.T) {
+func TestRequestThatCrashesLeafsIsQuarantined(t *testing.T) {
 	table, k := NewTable(), key(0)
 	require.Equal(t, Sound, table.Admit(k, epoch).Verdict)
-	require.False(t, table.RecordLeafEnd(k, "r1", "a", "s", epoch, at(time.Millisecond)).Changed())
+	require.False(t, table.RecordLeafCrash(k, "r1", "a", "s", epoch, at(time.Millisecond)).Changed())
 	require.Equal(t, Sound, table.Verdict(k, at(time.Millisecond)), "a single leaf may have ended for another reason")
-	change := table.RecordLeafEnd(k, "r1", "b", "s2", epoch, at(2*time.Millisecond))
+	change := table.RecordLeafCrash(k, "r1", "b", "s2", epoch, at(2*time.Millisecond))
 	require.Equal(t, Suspect, change.To)
 	require.Equal(t, Admission{Verdict: Suspect, Service: "s2"}, table.Admit(k, at(time.Second)))
 	require.Equal(t, Quarantined, table.Admit(k, at(time.Second)).Verdict, "only one trial at a time")
-	table.RecordLeafEnd(k, "r2", "c", "s", at(time.Second), at(1010*time.Millisecond))
-	change = table.RecordTrial(k, LeafEnded, at(1010*time.Millisecond))
+	table.RecordLeafCrash(k, "r2", "c", "s", at(time.Second), at(1010*time.Millisecond))
+	change = table.RecordTrial(k, LeafCrashed, at(1010*time.Millisecond))
 	require.Equal(t, Quarantined, change.To)
 	require.Equal(t, 10*time.Second, change.QuarantinedFor)
 	require.Equal(t, 5*time.Second, table.Admit(k, at(6010*time.Millisecond)).RetryAfter)
@@ -71,8 +71,8 @@
 			continue
 		}
 		trials++
-		table.RecordLeafEnd(k, "again", now.String(), "s", now, now.Add(10*time.Millisecond))
-		table.RecordTrial(k, LeafEnded, now.Add(10*time.Millisecond))
+		table.RecordLeafCrash(k, "again", now.String(), "s", now, now.Add(10*time.Millisecond))
+		table.RecordTrial(k, LeafCrashed, now.Add(10*time.Millisecond))
 	}
 	require.Equal(t, 3, trials)
 }
@@ -93,13 +93,13 @@
 }
 
 // Several attempts of one request that a leaf had when it ended count as one end.
-func TestAttemptsAtOneLeafCountAsOneEnd(t *testing.T) {
+func TestAttemptsAtOneLeafCountAsOneCrash(t *testing.T) {
 	table, k := NewTable(), key(0)
 	for _, attempt := range []string{"r1", "r2", "r3"} {
-		table.RecordLeafEnd(k, attempt, "a", "s", epoch, at(10*time.Millisecond))
+		table.RecordLeafCrash(k, attempt, "a", "s", epoch, at(10*time.Millisecond))
 	}
 	require.Equal(t, Sound, table.Verdict(k, at(time.Second)))
-	table.RecordLeafEnd(k, "r4", "a", "s", at(time.Second), at(1010*time.Millisecond))
+	table.RecordLeafCrash(k, "r4", "a", "s", at(time.Second), at(1010*time.Millisecond))
 	require.Equal(t, Suspect, table.Verdict(k, at(2*time.Second)),
 		"a server that restarted under the same name counts again")
 }
@@ -109,17 +109,17 @@
 func TestMemoryIsBounded(t *testing.T) {
 	table, k := tableWithSuspect()
 	table.Admit(k, at(time.Second))
-	table.RecordTrial(k, LeafEnded, at(time.Second))
+	table.RecordTrial(k, LeafCrashed, at(time.Second))
 	for n := range 3 * maxRecords {
 		now := at(time.Second + time.Duration(n)*time.Millisecond/2)
-		table.RecordLeafEnd(key(n+1), "r", "a", "s", now, now)
-		table.Merge(Report{Key: key(-n - 10), EndIDs: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}, now)
+		table.RecordLeafCrash(key(n+1), "r", "a", "s", now, now)
+		table.Merge(Report{Key: key(-n - 10), CrashIDs: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}, now)
 	}
 	require.LessOrEqual(t, len(table.records), maxRecords)
 	require.LessOrEqual(t, len(table.pending), maxPendingReports)
 	require.Equal(t, Quarantined, table.Verdict(k, at(10*time.Second)), "a quarantined request is not evicted")
 	for _, r := range table.records {
-		require.LessOrEqual(t, len(r.endIDs), maxEndIDs)
+		require.LessOrEqual(t, len(r.crashIDs), maxCrashIDs)
 	}
 	table.Sweep(at(time.Hour))
 	require.Zero(t, len(table.records))
@@ -130,8 +130,8 @@
 // other.
 func TestInstancesMergeReports(t *testing.T) {
 	a, b, k := NewTable(), NewTable(), key(0)
-	a.RecordLeafEnd(k, "r1", "x", "s", epoch, epoch)
-	b.RecordLeafEnd(k, "r2", "y", "s", epoch, epoch)
+	a.RecordLeafCrash(k, "r1", "x", "s", epoch, epoch)
+	b.RecordLeafCrash(k, "r2", "y", "s", epoch, epoch)
 	share := func(from, to *Table, now time.Time) {
 		for _, n := range from.PendingReports(10, now) {
 			to.Merge(n, now)
@@ -140,7 +140,7 @@
 	share(a, b, at(time.Second))
 	require.Equal(t, Suspect, b.Verdict(k, at(time.Second)))
 	require.Equal(t, Suspect, b.Admit(k, at(time.Second)).Verdict)
-	b.RecordTrial(k, LeafEnded, at(time.Second))
+	b.RecordTrial(k, LeafCrashed, at(time.Second))
 	share(b, a, at(2*time.Second))
 	require.Equal(t, 9*time.Second, a.Remaining(k, at(2*time.Second)))
 	for now := at(2 * time.Second); now.Before(at(5 * time.Second)); now = now.Add(time.Second) {
@@ -165,10 +165,10 @@
 	table := NewTable()
 	for n := range 10 {
 		for _, leaf := range []string{"a", "b"} {
-			table.RecordLeafEnd(key(n), "r", leaf, "s", epoch, epoch)
+			table.RecordLeafCrash(key(n), "r", leaf, "s", epoch, epoch)
 		}
 	}
-	table.RecordLeafEnd(key(99), "r", "a", "s", epoch, epoch)
+	table.RecordLeafCrash(key(99), "r", "a", "s", epoch, epoch)
 	seen := map[Key]bool{}
 	for range 3 {
 		reports := table.AntiEntropyReports(4, epoch)
@@ -184,29 +184,29 @@
 // instance would.
 func TestReportedValuesAreBounded(t *testing.T) {
 	table := NewTable()
-	table.Merge(Report{Key: key(0), EndIDs: []uint64{1, 2}, RemainingMs: 1<<32 - 1, Trials: 255,
+	table.Merge(Report{Key: key(0), CrashIDs: []uint64{1, 2}, RemainingMs: 1<<32 - 1, Trials: 255,
 		Service: string(make([]byte, 1<<16))}, epoch)
 	require.LessOrEqual(t, table.Remaining(key(0), epoch), 24*time.Hour)
 	require.LessOrEqual(t, len(table.records[key(0)].service), maxServiceBytes)
-	require.False(t, table.Merge(Report{EndIDs: []uint64{1, 2}}, epoch).Changed())
-	require.False(t, table.Merge(Report{Key: key(1), EndIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(),
+	require.False(t, table.Merge(Report{CrashIDs: []uint64{1, 2}}, epoch).Changed())
+	require.False(t, table.Merge(Report{Key: key(1), CrashIDs: []uint64{1, 2}, AgeMs: 1<<32 - 1}, epoch).Changed(),
 		"a report that is too old is ignored")
 }
 
 // Guards against long quarantines after a bad release, when leafs end on any request. Each
 // request that arrives again would be quarantined for minutes and then for a day, even after the
 // release has been rolled back.
-func TestQuarantineIsShortIfAllRequestsEndLeafs(t *testing.T) {
+func TestQuarantineIsShortIfAllRequestsCrashLeafs(t *testing.T) {
 	table := NewTable()
 	now := epoch
 	for round := range 4 {
 		for n := range 3 * massQuarantineThreshold {
 			for range 2 {
-				table.RecordLeafEnd(key(n), fmt.Sprint(round), fmt.Sprint(n, round), "s", now, now)
+				table.RecordLeafCrash(key(n), fmt.Sprint(round), fmt.Sprint(n, round), "s", now, now)
 			}
-			table.RecordLeafEnd(key(n), fmt.Sprint(round), fmt.Sprint("b", n, round), "s", now, now)
+			table.RecordLeafCrash(key(n), fmt.Sprint(round), fmt.Sprint("b", n, round), "s", now, now)
 			table.Admit(key(n), now)
-			table.RecordTrial(key(n), LeafEnded, now)
+			table.RecordTrial(key(n), LeafCrashed, now)
 		}
 		now = now.Add(11 * time.Second)
 	}
@@ -223,11 +223,11 @@
 func TestMaxDurationAppliesToExistingAndReportedQuarantines(t *testing.T) {
 	table, k := tableWithSuspect()
 	table.Admit(k, at(time.Second))
-	table.RecordTrial(k, LeafEnded, at(time.Second))
+	table.RecordTrial(k, LeafCrashed, at(time.Second))
 	table.SetMaxDuration(time.Second, at(2*time.Second))
 	require.Equal(t, time.Second, table.Remaining(k, at(2*time.Second)))
-	table.Merge(Report{Key: k, EndIDs: []uint64{1, 2}, RemainingMs: 60000}, at(2*time.Second))
+	table.Merge(Report{Key: k, CrashIDs: []uint64{1, 2}, RemainingMs: 60000}, at(2*time.Second))
 	require.Equal(t, time.Second, table.Remaining(k, at(2*time.Second)))
 	require.Equal(t, Suspect, table.Admit(k, at(4*time.Second)).Verdict)
-	require.Equal(t, time.Second, table.RecordTrial(k, LeafEnded, at(4*time.Second)).QuarantinedFor)
+	require.Equal(t, time.Second, table.RecordTrial(k, LeafCrashed, at(4*time.Second)).QuarantinedFor)
 }
--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -17,8 +17,8 @@
 	// NotSent means that no connection was available or nothing was written. The request did not
 	// run.
 	NotSent
-	// Broken means that the connection ended or the reply was invalid. The request may have run.
-	Broken
+	// ReplyLost means that the connection ended or the reply was invalid. The request may have run.
+	ReplyLost
 	// TimedOut means that no reply arrived within the time given to the leaf. The request may
 	// have run.
 	TimedOut
@@ -34,9 +34,9 @@
 	// PeerRefused means that the peer instance did not send the request. It did not run, and the
 	// outcome says nothing about the leaf.
 	PeerRefused
-	// ProcessExited means that the leaf's process exited while it had the request. The request
+	// LeafCrashed means that the leaf's process exited while it had the request. The request
 	// may have run, and it may have caused the exit.
-	ProcessExited
+	LeafCrashed
 )
 
 // String returns the name of the outcome in logs and metrics.
@@ -45,7 +45,7 @@
 }
 
 // Valid reports whether o is one of the constants above.
-func (o Outcome) Valid() bool { return o >= Answered && o <= ProcessExited }
+func (o Outcome) Valid() bool { return o >= Answered && o <= LeafCrashed }
 
 // NotRun reports whether the outcome proves that the request did not run and will not run.
 func (o Outcome) NotRun() bool {
@@ -156,7 +156,7 @@
 	case NotSent:
 		r.connectFailed = true
 		r.recordConnFailure(now)
-	case Broken, ProcessExited:
+	case ReplyLost, LeafCrashed:
 		r.connectFailed = false
 		r.recordRefusal(true, now)
 		r.recordConnFailure(now)
--- a/pkg/replica/membership_test.go
+++ b/pkg/replica/membership_test.go
@@ -68,7 +68,7 @@
 // after an outage of the store. A readable report adds it again.
 func TestWithdrawnLeafIsRemovedAtOnce(t *testing.T) {
 	table := newTestTable(newTestLeaf("a", "z1"), newTestLeaf("b", "z1"))
-	table.StoreReturned(t0)
+	table.StoreRecovered(t0)
 	require.True(t, table.Withdraw("a", at(10)))
 	require.False(t, table.Withdraw("a", at(20)), "reported only once")
 	for range 20 {
--- a/pkg/replica/placement.go
+++ b/pkg/replica/placement.go
@@ -31,12 +31,12 @@
 	maxRefusalRate = 0.95
 )
 
-// Verdict says whether a leaf was found, and why not.
-type Verdict int
+// PlaceResult says whether a leaf was found, and why not.
+type PlaceResult int
 
 const (
 	// Placed means that a leaf was found.
-	Placed Verdict = iota
+	Placed PlaceResult = iota
 	// NoLeaf means that no listed leaf accepts new requests.
 	NoLeaf
 	// AllDown means that the listed leafs do not accept connections.
@@ -47,7 +47,7 @@
 )
 
 // String returns the name of the verdict in logs.
-func (v Verdict) String() string {
+func (v PlaceResult) String() string {
 	return [...]string{"placed", "no_leaf", "all_down", "all_busy"}[v]
 }
 
@@ -66,24 +66,24 @@
 // the leafs in tried.
 func (t *Table) Place(
 	serviceName, className string, tried []string, now time.Time,
-) (Placement, Verdict) {
+) (Placement, PlaceResult) {
 	return t.place(serviceName, className, now, func(id string) bool { return !slices.Contains(tried, id) })
 }
 
 // PlaceAmong is like Place, but considers only the leafs in tried.
 func (t *Table) PlaceAmong(
 	serviceName, className string, tried []string, now time.Time,
-) (Placement, Verdict) {
+) (Placement, PlaceResult) {
 	return t.place(serviceName, className, now, func(id string) bool { return slices.Contains(tried, id) })
 }
 
 // place returns the eligible leaf with the lowest cost.
 func (t *Table) place(
 	serviceName, className string, now time.Time, eligible func(id string) bool,
-) (Placement, Verdict) {
+) (Placement, PlaceResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	verdict := NoLeaf
+	result := NoLeaf
 	var best Placement
 	bestCost := time.Duration(0)
 	s := t.service(serviceName)
@@ -92,26 +92,26 @@
 			continue
 		}
 		if !t.reachable(r, now) {
-			verdict = moreSpecificVerdict(verdict, AllDown)
+			result = moreSpecificResult(result, AllDown)
 			continue
 		}
 		if t.atConnLimit(r, now) || t.atColdLimit(r, now) {
-			verdict = moreSpecificVerdict(verdict, AllBusy)
+			result = moreSpecificResult(result, AllBusy)
 			continue
 		}
 		p, cost := t.estimate(r, className, now)
 		if r.lastAbandoned && !s.budget.Available(now) {
 			cost *= abandonedCostFactor
 		}
-		if verdict != Placed || cost < bestCost {
-			verdict, best, bestCost = Placed, p, cost
+		if result != Placed || cost < bestCost {
+			result, best, bestCost = Placed, p, cost
 		}
 	}
-	return best, verdict
+	return best, result
 }
 
-// moreSpecificVerdict returns the verdict that says more about why there is no leaf.
-func moreSpecificVerdict(current, found Verdict) Verdict {
+// moreSpecificResult returns the verdict that says more about why there is no leaf.
+func moreSpecificResult(current, found PlaceResult) PlaceResult {
 	if current == NoLeaf || (current == AllDown && found == AllBusy) {
 		return found
 	}
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -52,14 +52,14 @@
 	return p
 }
 
-func TestPlaceVerdicts(t *testing.T) {
+func TestPlaceResults(t *testing.T) {
 	draining := newTestLeaf("d", "z1")
 	draining.Draining = true
 	for name, tc := range map[string]struct {
 		leafs   []Leaf
 		prepare func(*Table)
 		tried   []string
-		want    Verdict
+		want    PlaceResult
 	}{
 		"none listed":          {nil, nil, nil, NoLeaf},
 		"only a draining leaf": {[]Leaf{draining}, nil, nil, NoLeaf},
@@ -302,7 +302,7 @@
 	sendAnswered(table, Placement{Leaf: newTestLeaf("d", "z2")}, t0, 20*time.Millisecond)
 	for _, id := range []string{"a", "b", "c"} {
 		for range downThreshold {
-			table.End(table.Begin(Placement{Leaf: newTestLeaf(id, "z2")}, "c", at(100)), Broken, at(101))
+			table.End(table.Begin(Placement{Leaf: newTestLeaf(id, "z2")}, "c", at(100)), ReplyLost, at(101))
 		}
 	}
 	require.Empty(t, table.SuspectZones(at(400)))
@@ -375,7 +375,7 @@
 
 func TestVanishedLeafIsKeptDuringLapseGrace(t *testing.T) {
 	table := newTestTable(newTestLeaf("a", "z1"), newTestLeaf("b", "z1"))
-	table.StoreReturned(t0)
+	table.StoreRecovered(t0)
 	require.False(t, table.Remove("a", at(10)))
 	require.False(t, table.Remove("b", at(10)))
 	back := newTestLeaf("a", "z1")
--- a/pkg/settings/node.go
+++ b/pkg/settings/node.go
@@ -190,9 +190,9 @@
 	// over all instances, in any window of SecondRequestWindowMs.
 	SecondRequestRatio    float64 `yaml:"second_ratio"`
 	SecondRequestWindowMs int     `yaml:"second_window_ms"`
-	// SecondRequestSlack is the number of further second requests allowed in a window, over all
+	// SecondRequestBurst is the number of further second requests allowed in a window, over all
 	// instances; zero means that it is not declared.
-	SecondRequestSlack float64 `yaml:"second_slack"`
+	SecondRequestBurst float64 `yaml:"second_slack"`
 	// A cold leaf may receive, from all instances together, ColdFactor times the rate that its
 	// service publishes for cold leafs, plus ColdSlack requests per second.
 	ColdFactor float64 `yaml:"cold_factor"`
--- a/pkg/settings/nodecheck.go
+++ b/pkg/settings/nodecheck.go
@@ -76,7 +76,7 @@
 		positive("declared.apply_ms", n.Declared.ApplyMs),
 		positive("declared.drain_ms", n.Declared.DrainMs),
 		positive("declared.second_window_ms", n.Declared.SecondRequestWindowMs),
-		atLeast("declared.second_slack", n.Declared.SecondRequestSlack, 0),
+		atLeast("declared.second_slack", n.Declared.SecondRequestBurst, 0),
 		atLeast("declared.cold_factor", n.Declared.ColdFactor, 0),
 		atLeast("declared.cold_slack", n.Declared.ColdSlack, 0),
 		nonNegative("declared.evacuate_ms", n.Declared.EvacuateMs),
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -36,9 +36,9 @@
 	MinTimeoutMs     int `yaml:"min_timeout_ms"`
 	// TickMs is the interval of periodic maintenance.
 	TickMs int `yaml:"tick_ms"`
-	// DrainGraceMs is how long requests are still served after the stop signal,
+	// LameDuckMs is how long requests are still served after the stop signal,
 	// so that the load balancer can stop sending them.
-	DrainGraceMs int `yaml:"drain_grace_ms"`
+	LameDuckMs   int `yaml:"drain_grace_ms"`
 	RetryAfterMs int `yaml:"retry_after_ms"`
 	// LeavingHoldMs is the minimum time for which a backend server that
 	// announced its stop counts as draining, whatever the instance list says.
@@ -50,8 +50,8 @@
 	Policy string `yaml:"policy"`
 	// HedgeBudgetPct limits second requests to this percentage of requests.
 	HedgeBudgetPct int `yaml:"hedge_budget_percent"`
-	// HedgeMinMs is the minimum delay before a hedged request.
-	HedgeMinMs int `yaml:"hedge_min_ms"`
+	// MinHedgeDelayMs is the minimum delay before a hedged request.
+	MinHedgeDelayMs int `yaml:"hedge_min_ms"`
 	// MaxQuarantineMs is the maximum time for which a request that crashes
 	// backend servers is quarantined, that is, sent to no server.
 	MaxQuarantineMs int `yaml:"quarantine_most_ms"`
@@ -126,12 +126,12 @@
 	defaultMaxTimeoutMs    = 30000
 	defaultMinTimeoutMs    = 5
 	defaultTickMs          = 100
-	defaultDrainGraceMs    = 500
+	defaultLameDuckMs      = 500
 	defaultRetryAfterMs    = 250
 	defaultLeavingHoldMs   = 2000
 	defaultPauseLimitMs    = 2000
 	defaultHedgeBudgetPct  = 10
-	defaultHedgeMinMs      = 5
+	defaultMinHedgeDelayMs = 5
 	defaultZonePenaltyMs   = 2.0
 	defaultRelayIntervalMs = 1000
 	// defaultMaxQuarantineMs is one day.
@@ -197,12 +197,12 @@
 	setDefault(&s.MaxTimeoutMs, defaultMaxTimeoutMs)
 	setDefault(&s.MinTimeoutMs, defaultMinTimeoutMs)
 	setDefault(&s.TickMs, defaultTickMs)
-	setDefault(&s.DrainGraceMs, defaultDrainGraceMs)
+	setDefault(&s.LameDuckMs, defaultLameDuckMs)
 	setDefault(&s.RetryAfterMs, defaultRetryAfterMs)
 	setDefault(&s.LeavingHoldMs, defaultLeavingHoldMs)
 	setDefault(&s.PauseLimitMs, defaultPauseLimitMs)
 	setDefault(&s.HedgeBudgetPct, defaultHedgeBudgetPct)
-	setDefault(&s.HedgeMinMs, defaultHedgeMinMs)
+	setDefault(&s.MinHedgeDelayMs, defaultMinHedgeDelayMs)
 	setDefault(&s.RelayIntervalMs, defaultRelayIntervalMs)
 	setDefault(&s.MaxQuarantineMs, defaultMaxQuarantineMs)
 	if s.ZonePenaltyMs == 0 {
@@ -214,7 +214,7 @@
 	return firstErr(
 		oneOf("policy", s.Policy, PolicyHedged, PolicyNaive),
 		between("hedge_budget_percent", s.HedgeBudgetPct, 0, 100),
-		positive("hedge_min_ms", s.HedgeMinMs),
+		positive("hedge_min_ms", s.MinHedgeDelayMs),
 		positive("quarantine_most_ms", s.MaxQuarantineMs),
 		positive("zone_penalty_ms", s.ZonePenaltyMs),
 		s.checkRelay(),
