--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -161,7 +161,7 @@
 		f.noteHistoryGone(from)
 		return 0
 	case errors.Is(err, errStale), errors.Is(err, errEraEnded):
-		f.recordGivenUp(c)
+		f.recordAbandoned(c)
 		return 0
 	case err != nil:
 		return f.recordFailure(ctx, c, err)
@@ -218,8 +218,8 @@
 	}
 }
 
-// recordGivenUp records a cancelled call. The next one shows whether the store is available.
-func (f *Follower) recordGivenUp(c call) {
+// recordAbandoned records a cancelled call. The next one shows whether the store is available.
+func (f *Follower) recordAbandoned(c call) {
 	now := time.Now()
 	f.calls.Add(1)
 	f.pacer.RecordAbandoned()
--- a/pkg/entry/plan.go
+++ b/pkg/entry/plan.go
@@ -130,6 +130,6 @@
 		ReservedConns:    reservedCancelConns,
 		OtherZonePenalty: time.Duration(s.ZonePenaltyMs * float64(time.Millisecond)),
 		NearestFirst:     s.Policy == settings.PolicyNaive,
-		Budget:           secondRequestBudget(s.HedgeBudgetPct),
+		Budget:           secondRequestBudget(s.SecondRequestPercent),
 	}
 }
--- a/pkg/feed/cache_test.go
+++ b/pkg/feed/cache_test.go
@@ -36,18 +36,18 @@
 func snapshot(to int64, items ...Item) Update { return Update{Full: true, To: at(to), Items: items} }
 
 func TestCacheReturnsChangesSincePosition(t *testing.T) {
-	reader, listener := NewCache(), NewCache()
+	reader, subscriber := NewCache(), NewCache()
 	require.False(t, reader.Synced())
 	require.Len(t, reader.Apply(snapshot(10, entry("x", 3), entry("y", 10))), 2)
 	require.True(t, reader.Synced())
-	require.Len(t, listener.Apply(reader.Since(at(0), testStart)), 2)
+	require.Len(t, subscriber.Apply(reader.Since(at(0), testStart)), 2)
 	reader.Apply(Update{From: at(10), To: at(14), Items: []Item{entry("z", 12), tombstone("x", 13), entry("y", 14)}})
-	delta := reader.Since(listener.Position(), testStart)
+	delta := reader.Since(subscriber.Position(), testStart)
 	require.False(t, delta.Full)
 	require.Len(t, delta.Items, 3)
-	require.Len(t, listener.Apply(delta), 3)
-	require.Equal(t, liveRevisions(reader), liveRevisions(listener))
-	require.Equal(t, map[string]int64{"y": 14, "z": 12}, liveRevisions(listener))
+	require.Len(t, subscriber.Apply(delta), 3)
+	require.Equal(t, liveRevisions(reader), liveRevisions(subscriber))
+	require.Equal(t, map[string]int64{"y": 14, "z": 12}, liveRevisions(subscriber))
 	require.Empty(t, reader.Since(at(14), testStart).Items)
 }
 
@@ -112,30 +112,30 @@
 // Guards against listeners that go on using removed leafs. The store drops its history, a leaf is
 // removed in the gap, and the reader lists the store again into a new cache that does not know
 // the deletion. Listeners behind that listing were sent only what is newer.
-func TestNewCacheSendsSnapshotToListenersBehindItsListing(t *testing.T) {
-	listener := NewCache()
-	listener.Apply(snapshot(10, entry("stays", 3), entry("left", 4)))
+func TestNewCacheSendsSnapshotToSubscribersBehindItsListing(t *testing.T) {
+	subscriber := NewCache()
+	subscriber.Apply(snapshot(10, entry("stays", 3), entry("left", 4)))
 	relisted := NewCache()
 	relisted.Apply(snapshot(20, entry("stays", 3), entry("new", 15)))
-	update := relisted.Since(listener.Position(), testStart)
+	update := relisted.Since(subscriber.Position(), testStart)
 	require.True(t, update.Full)
-	listener.Apply(update)
-	require.Equal(t, map[string]int64{"stays": 3, "new": 15}, liveRevisions(listener))
+	subscriber.Apply(update)
+	require.Equal(t, map[string]int64{"stays": 3, "new": 15}, liveRevisions(subscriber))
 	require.False(t, relisted.Since(at(20), testStart).Full)
 }
 
 // An entry written while the store is listed is in the cache before the cache's position reaches
 // it. It is sent with the snapshot and, without harm, again with the next delta.
 func TestEntriesWrittenDuringTheListing(t *testing.T) {
-	reader, listener := NewCache(), NewCache()
+	reader, subscriber := NewCache(), NewCache()
 	reader.Apply(snapshot(10, entry("a", 3), entry("late", 12)))
 	update := reader.Since(at(0), testStart)
 	require.NoError(t, update.Validate())
-	listener.Apply(update)
-	require.Equal(t, at(10), listener.Position())
+	subscriber.Apply(update)
+	require.Equal(t, at(10), subscriber.Position())
 	reader.Apply(Update{From: at(10), To: at(13), Items: []Item{entry("between", 11), entry("late", 12)}})
-	listener.Apply(reader.Since(listener.Position(), testStart))
-	require.Equal(t, map[string]int64{"a": 3, "between": 11, "late": 12}, liveRevisions(listener))
+	subscriber.Apply(reader.Since(subscriber.Position(), testStart))
+	require.Equal(t, map[string]int64{"a": 3, "between": 11, "late": 12}, liveRevisions(subscriber))
 }
 
 // A recovery of the store is new only once, and is sent to listeners for as long as it matters.
@@ -251,7 +251,7 @@
 
 // Guards against listeners that go on using leafs removed while the history was lost, when the
 // reader that lists the store again keeps its cache.
-func TestSnapshotIsSentToListenersBehindARelisting(t *testing.T) {
+func TestSnapshotIsSentToSubscribersBehindARelisting(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshot(10, entry("stays", 3)))
 	c.Apply(snapshot(20, entry("stays", 3)))
--- a/pkg/feed/planner.go
+++ b/pkg/feed/planner.go
@@ -75,18 +75,18 @@
 }
 
 // Decide returns the instances to listen to, and whether to read the store.
-func (p *Planner) Decide(v View, now time.Time) (listen []string, read bool) {
+func (p *Planner) Decide(v View, now time.Time) (sources []string, read bool) {
 	usable := 0
 	listeningSince := make(map[string]time.Time)
 	for _, name := range v.Ahead {
-		if usable == ReadersPerZone || len(listen) == maxSourcesAhead {
+		if usable == ReadersPerZone || len(sources) == maxSourcesAhead {
 			break
 		}
 		since, ok := p.listeningSince[name]
 		if !ok {
 			since = now
 		}
-		listen = append(listen, name)
+		sources = append(sources, name)
 		listeningSince[name] = since
 		if now.Sub(v.LastAnswered(name)) <= p.opts.MaxAge || now.Sub(since) < newSourceGrace {
 			usable++
@@ -95,9 +95,9 @@
 	p.listeningSince = listeningSince
 	read = p.shouldRead(usable, len(v.Ahead), v.Synced, now)
 	if p.readsInVain(read, v.OwnAnswered, now) {
-		listen = append(listen, v.Behind[:min(len(v.Behind), maxSourcesBehind)]...)
+		sources = append(sources, v.Behind[:min(len(v.Behind), maxSourcesBehind)]...)
 	}
-	return listen, read
+	return sources, read
 }
 
 // readsInVain reports whether this instance has read the store for longer than MaxAge without a
--- a/pkg/feed/planner_test.go
+++ b/pkg/feed/planner_test.go
@@ -20,7 +20,7 @@
 // simInstance is one simulated instance.
 type simInstance struct {
 	planner *Planner
-	listen  []string
+	sources []string
 	read    bool
 	// knownAsOf is the time up to which its data is known to be current, from any source.
 	knownAsOf time.Time
@@ -73,11 +73,11 @@
 				}
 				return *z.instances[j]
 			}
-			inst.listen, inst.read = inst.planner.Decide(View{
+			inst.sources, inst.read = inst.planner.Decide(View{
 				Ahead: z.reachable(0, i), Behind: z.reachable(i+1, len(z.instances)), OwnAnswered: inst.answered, Synced: !inst.knownAsOf.IsZero(),
 				LastAnswered: func(name string) time.Time { return other(name).answered },
 			}, z.now)
-			for _, name := range inst.listen {
+			for _, name := range inst.sources {
 				if at := other(name).knownAsOf; at.After(inst.knownAsOf) {
 					inst.knownAsOf = at
 				}
@@ -121,7 +121,7 @@
 	require.Equal(t, ReadersPerZone, z.readers())
 	for i, inst := range z.instances[2:] {
 		require.False(t, inst.read, i)
-		require.Equal(t, []string{"0", "1"}, inst.listen)
+		require.Equal(t, []string{"0", "1"}, inst.sources)
 	}
 	require.LessOrEqual(t, z.maxStaleness(), time.Second)
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -37,8 +37,8 @@
 	PeerCodec peers.Codec
 }
 
-// logDrainTimeout is how long writing buffered log lines may take at shutdown.
-const logDrainTimeout = 100 * time.Millisecond
+// logFlushTimeout is how long writing buffered log lines may take at shutdown.
+const logFlushTimeout = 100 * time.Millisecond
 
 // initialLimits apply to callers until a configuration is known.
 var initialLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
@@ -196,7 +196,7 @@
 	n.peering.close()
 	n.gateway.Close()
 	n.log.State("stopped", oplog.Fields{"in_flight": n.gateway.InFlight()})
-	n.log.Close(logDrainTimeout)
+	n.log.Close(logFlushTimeout)
 }
 
 // waitForStop reloads the settings on SIGHUP and when the file has changed, until a stop signal
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -330,8 +330,8 @@
 	knownAt       map[int64]time.Time
 	newestVersion int64
 	// leafs are the IDs of the leafs in use.
-	leafs     map[string]bool
-	listeners []chan struct{}
+	leafs       map[string]bool
+	subscribers []chan struct{}
 	// runningSince is when the instance started, or resumed after a pause.
 	runningSince time.Time
 }
@@ -436,7 +436,7 @@
 	i := &simInstance{simStore: f.store, knownAt: map[int64]time.Time{}, leafs: map[string]bool{}, runningSince: time.Now()}
 	i.ctx, i.stop = context.WithCancel(f.ctx)
 	i.follower = discovery.NewFollower(i, i, storeOptions(f.set), log)
-	i.follower.OnChange(i.notifyListeners)
+	i.follower.OnChange(i.notifySubscribers)
 	i.follower.SetReading(true, longpoll.PeerGroup{Reporting: len(f.sources[n]), RelativeRank: float64(n+1) / float64(len(f.sources))})
 	f.instances[n] = i
 	f.running.Go(func() { i.follower.Run(i.ctx) })
@@ -458,14 +458,14 @@
 
 // link makes one instance send updates to another until either ends.
 func (f *simFleet) link(from, to int) {
-	source, listener := f.instances[from], f.instances[to]
+	source, subscriber := f.instances[from], f.instances[to]
 	wake := make(chan struct{}, 1)
 	source.mu.Lock()
-	source.listeners = append(source.listeners, wake)
+	source.subscribers = append(source.subscribers, wake)
 	source.mu.Unlock()
 	ctx, stop := context.WithCancel(source.ctx)
-	context.AfterFunc(listener.ctx, stop)
-	f.running.Go(func() { f.feedListener(ctx, source, listener, wake) })
+	context.AfterFunc(subscriber.ctx, stop)
+	f.running.Go(func() { f.feedSubscriber(ctx, source, subscriber, wake) })
 }
 
 // partition cuts off all instances from each other for a duration.
@@ -488,10 +488,10 @@
 	f.running.Wait()
 }
 
-func (i *simInstance) notifyListeners() {
+func (i *simInstance) notifySubscribers() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, w := range i.listeners {
+	for _, w := range i.subscribers {
 		select {
 		case w <- struct{}{}:
 		default:
@@ -520,19 +520,19 @@
 	}
 }
 
-// feedListener sends updates from one instance to another until ctx ends.
-func (f *simFleet) feedListener(ctx context.Context, source, listener *simInstance, wake chan struct{}) {
-	sent := listener.follower.Position()
+// feedSubscriber sends updates from one instance to another until ctx ends.
+func (f *simFleet) feedSubscriber(ctx context.Context, source, subscriber *simInstance, wake chan struct{}) {
+	sent := subscriber.follower.Position()
 	subscription := &feed.Subscription{}
 	ticker := time.NewTicker(simStatusInterval)
 	defer ticker.Stop()
 	for {
 		switch {
 		case f.partitioned(): // The connection is lost; the next one starts at the listener's position.
-			sent = listener.follower.Position()
+			sent = subscriber.follower.Position()
 			subscription.Renew(time.Now())
 		default:
-			sent = f.sendUpdate(source.follower, listener, sent, subscription)
+			sent = f.sendUpdate(source.follower, subscriber, sent, subscription)
 		}
 		source.waitWhilePaused()
 		select {
@@ -545,7 +545,7 @@
 }
 
 // sendUpdate sends what is new to a listener and returns the position up to which it was sent.
-func (f *simFleet) sendUpdate(from *discovery.Follower, listener *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
+func (f *simFleet) sendUpdate(from *discovery.Follower, subscriber *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
 	confirmed, answered, update := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.ChangesSince(sent)
 	known := from.Synced()
 	sends := known && update.To.After(sent)
@@ -553,8 +553,8 @@
 		sent = update.To
 	}
 	time.Sleep(f.messageDelay)
-	listener.waitWhilePaused()
-	to := listener.follower
+	subscriber.waitWhilePaused()
+	to := subscriber.follower
 	if sends {
 		_ = to.ApplyUpdate(update) // A rejected update is lost, as on a connection.
 	}
--- a/pkg/peers/batchserver.go
+++ b/pkg/peers/batchserver.go
@@ -64,7 +64,7 @@
 	for i := range w.leafs {
 		w.startCall(i)
 	}
-	timer := time.NewTimer(time.Duration(w.frame.FlushUs) * time.Microsecond)
+	timer := time.NewTimer(time.Duration(w.frame.FlushAfterUs) * time.Microsecond)
 	defer timer.Stop()
 	timerArmed, acknowledged := true, false
 	var ready []leafResult
@@ -75,7 +75,7 @@
 			outstanding--
 			if outstanding > 0 && d.reply.Outcome == replica.Answered {
 				if !timerArmed {
-					timer.Reset(time.Duration(w.frame.StepUs) * time.Microsecond)
+					timer.Reset(time.Duration(w.frame.FlushIntervalUs) * time.Microsecond)
 					timerArmed = true
 				}
 				continue
--- a/pkg/peers/clientconn.go
+++ b/pkg/peers/clientconn.go
@@ -116,8 +116,8 @@
 func (c *clientConn) encodeBatch(number uint64, b gateway.Batch, now time.Time) batch {
 	f := batch{
 		Number: number, Request: c.texts.encodeRequest(b.Request.ID, c.codec.Request(b.Request.Content)),
-		TimeoutMs: uint32(max(b.Deadline.Sub(now).Milliseconds(), 1)),
-		FlushUs:   uint32(b.FlushAfter.Microseconds()), StepUs: uint32(b.FlushInterval.Microseconds()), TopK: uint32(b.Route.TopK),
+		TimeoutMs:    uint32(max(b.Deadline.Sub(now).Milliseconds(), 1)),
+		FlushAfterUs: uint32(b.FlushAfter.Microseconds()), FlushIntervalUs: uint32(b.FlushInterval.Microseconds()), TopK: uint32(b.Route.TopK),
 	}
 	for _, call := range b.Calls {
 		f.Leafs = append(f.Leafs, c.texts.ref(formatLeaf(call.Leaf)))
--- a/pkg/peers/frames.go
+++ b/pkg/peers/frames.go
@@ -181,10 +181,10 @@
 	Request requestFrame
 	// TimeoutMs is the time that the leafs have. FlushUs is when the first replies are returned
 	// at the latest, and StepUs how long further replies are collected.
-	TimeoutMs uint32
-	FlushUs   uint32
-	StepUs    uint32
-	TopK      uint32
+	TimeoutMs       uint32
+	FlushAfterUs    uint32
+	FlushIntervalUs uint32
+	TopK            uint32
 	// Leafs are IDs and addresses, since the peer may not know a leaf yet.
 	Leafs []textRef
 }
--- a/pkg/peers/roles.go
+++ b/pkg/peers/roles.go
@@ -26,9 +26,9 @@
 	// remoteReaders are members of other zones that read the store, one for each of the next
 	// maxRemoteZones zones.
 	remoteReaders []membership.Member
-	// readerPosition is the relative position of this instance among all members that read the
+	// readerRank is the relative position of this instance among all members that read the
 	// store, greater than 0 and at most 1. It spreads their reads over time.
-	readerPosition float64
+	readerRank float64
 	// gathererCount is the number of gatherers of this zone, and localPeers the number of other
 	// usable members of this zone.
 	gathererCount, localPeers int
@@ -89,7 +89,7 @@
 	}
 	r := roles{batchers: make(map[string][]membership.Member)}
 	readers := storeReaders(self, zones)
-	r.remoteReaders, r.readerPosition = selectRemoteReaders(self, readers, avoided), readerPosition(self, readers)
+	r.remoteReaders, r.readerRank = selectRemoteReaders(self, readers, avoided), readerRank(self, readers)
 	for zone, in := range zones {
 		r.usablePeers += len(in)
 		if zone == self.Zone {
@@ -148,8 +148,8 @@
 	return out
 }
 
-// readerPosition returns the relative position of an instance by name among all readers.
-func readerPosition(self membership.Member, readers map[string][]membership.Member) float64 {
+// readerRank returns the relative position of an instance by name among all readers.
+func readerRank(self membership.Member, readers map[string][]membership.Member) float64 {
 	before, all := 0, 0
 	for _, in := range readers {
 		all += len(in)
--- a/pkg/peers/subscriber.go
+++ b/pkg/peers/subscriber.go
@@ -80,7 +80,7 @@
 // readerGroup describes the other instances that read the store, given the peers to which this
 // instance subscribes. mu must be held.
 func (p *Peers) readerGroup(publishers []string, now time.Time) longpoll.PeerGroup {
-	g := longpoll.PeerGroup{RelativeRank: p.roles.readerPosition}
+	g := longpoll.PeerGroup{RelativeRank: p.roles.readerRank}
 	for _, name := range publishers {
 		if now.Sub(p.subscriber.lastAnswer(name, now)) <= p.subscriber.maxAge {
 			g.Reporting++
--- a/pkg/peers/subscriber_test.go
+++ b/pkg/peers/subscriber_test.go
@@ -263,10 +263,10 @@
 			for _, m := range b.agent.roles.ahead {
 				b.agent.subscriber.statuses[m.Name] = publisherStatus{answeredAt: now, receivedAt: now}
 			}
-			listen := b.agent.chooseFeeds(now)
+			publishers := b.agent.chooseFeeds(now)
 			require.Equal(t, tc.read, b.local.isReading())
 			if tc.localPeers >= feed.MinMembers {
-				require.Len(t, listen, tc.ahead)
+				require.Len(t, publishers, tc.ahead)
 			}
 			b.agent.avoidUntil["z-a"] = now.Add(time.Minute)
 			b.agent.chooseFeeds(now)
@@ -316,9 +316,9 @@
 	all := append(newMembers("x", 19, 80, 19, 80, 19, 19), newMembers("y", 19, 19)...)
 	drawn := assignAll(all)
 	for name, want := range map[string]float64{"x-b": 0.25, "x-d": 0.5, "y-a": 0.75, "y-b": 1} {
-		require.Equal(t, want, drawn[name].readerPosition, name)
+		require.Equal(t, want, drawn[name].readerRank, name)
 	}
-	require.Equal(t, 1.0, assignRoles(all[0], nil, neverAvoided).readerPosition)
+	require.Equal(t, 1.0, assignRoles(all[0], nil, neverAvoided).readerRank)
 }
 
 // An instance that reads the store subscribes to two members of its zone and to readers of other
@@ -329,7 +329,7 @@
 	now := time.Now()
 	b.agent.mu.Lock()
 	defer b.agent.mu.Unlock()
-	b.agent.roles = roles{localPeers: 3, usablePeers: 5, readerPosition: 0.5, ahead: newMembers("a", 1), behind: newMembers("b", 1, 1), remoteReaders: newMembers("far", 1, 1)}
+	b.agent.roles = roles{localPeers: 3, usablePeers: 5, readerRank: 0.5, ahead: newMembers("a", 1), behind: newMembers("b", 1, 1), remoteReaders: newMembers("far", 1, 1)}
 	require.Equal(t, []string{"b-a", "b-b"}, b.agent.chooseFeeds(now))
 	locked(b.local, func() bool { b.local.book.Apply(feed.Update{Full: true, To: pos(1)}); return true })
 	require.Equal(t, []string{"b-a", "b-b", "far-a", "far-b"}, b.agent.chooseFeeds(now))
--- a/pkg/replica/waiting.go
+++ b/pkg/replica/waiting.go
@@ -7,9 +7,9 @@
 	// maxWaitWithoutSign is how long a request waits without a sign that the overload is ending.
 	// It is the length of a short overload.
 	maxWaitWithoutSign = 800 * time.Millisecond
-	// waitTrialInterval is the minimum time between two requests that may wait for capacity
+	// waitProbeInterval is the minimum time between two requests that may wait for capacity
 	// although the last wait was abandoned.
-	waitTrialInterval = 2 * time.Second
+	waitProbeInterval = 2 * time.Second
 	// waitOutcomeTTL is how long an abandoned wait counts as evidence: the length of an overload
 	// of a few seconds.
 	waitOutcomeTTL = 5 * time.Second
@@ -24,7 +24,7 @@
 	// that ended with the request being sent. trialAt is when a request was last allowed to wait
 	// although the wait before it had been abandoned. capacitySignAt is when a new request would
 	// last have been admitted.
-	abandonedAt, admittedAt, trialAt, capacitySignAt time.Time
+	abandonedAt, admittedAt, probeAt, capacitySignAt time.Time
 }
 
 // lastWaitAbandoned reports whether the last wait ended without capacity, at most
@@ -44,7 +44,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &t.class(className).waits
-	return !h.lastWaitAbandoned(now) || allowEvery(&h.trialAt, waitTrialInterval, now)
+	return !h.lastWaitAbandoned(now) || allowEvery(&h.probeAt, waitProbeInterval, now)
 }
 
 // RecordCapacitySign records that a new request of the class would be admitted now, which means
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -48,8 +48,8 @@
 	PauseLimitMs int `yaml:"pause_limit_ms"`
 	// Policy is one of the fan-out policies below.
 	Policy string `yaml:"policy"`
-	// HedgeBudgetPct limits second requests to this percentage of requests.
-	HedgeBudgetPct int `yaml:"hedge_budget_percent"`
+	// SecondRequestPercent limits second requests to this percentage of requests.
+	SecondRequestPercent int `yaml:"hedge_budget_percent"`
 	// MinHedgeDelayMs is the minimum delay before a hedged request.
 	MinHedgeDelayMs int `yaml:"hedge_min_ms"`
 	// MaxQuarantineMs is the maximum time for which a request that crashes
@@ -118,22 +118,22 @@
 
 // Defaults of omitted fields.
 const (
-	defaultWorkers         = 2048
-	defaultMaxInFlight     = 512
-	defaultConnsPerBackend = 16
-	defaultEntryInstances  = 8
-	defaultTimeoutMs       = 200
-	defaultMaxTimeoutMs    = 30000
-	defaultMinTimeoutMs    = 5
-	defaultTickMs          = 100
-	defaultLameDuckMs      = 500
-	defaultRetryAfterMs    = 250
-	defaultLeavingHoldMs   = 2000
-	defaultPauseLimitMs    = 2000
-	defaultHedgeBudgetPct  = 10
-	defaultMinHedgeDelayMs = 5
-	defaultZonePenaltyMs   = 2.0
-	defaultRelayIntervalMs = 1000
+	defaultWorkers              = 2048
+	defaultMaxInFlight          = 512
+	defaultConnsPerBackend      = 16
+	defaultEntryInstances       = 8
+	defaultTimeoutMs            = 200
+	defaultMaxTimeoutMs         = 30000
+	defaultMinTimeoutMs         = 5
+	defaultTickMs               = 100
+	defaultLameDuckMs           = 500
+	defaultRetryAfterMs         = 250
+	defaultLeavingHoldMs        = 2000
+	defaultPauseLimitMs         = 2000
+	defaultSecondRequestPercent = 10
+	defaultMinHedgeDelayMs      = 5
+	defaultZonePenaltyMs        = 2.0
+	defaultRelayIntervalMs      = 1000
 	// defaultMaxQuarantineMs is one day.
 	defaultMaxQuarantineMs = 24 * 60 * 60 * 1000
 	minRelaySecretLength   = 16
@@ -201,7 +201,7 @@
 	setDefault(&s.RetryAfterMs, defaultRetryAfterMs)
 	setDefault(&s.LeavingHoldMs, defaultLeavingHoldMs)
 	setDefault(&s.PauseLimitMs, defaultPauseLimitMs)
-	setDefault(&s.HedgeBudgetPct, defaultHedgeBudgetPct)
+	setDefault(&s.SecondRequestPercent, defaultSecondRequestPercent)
 	setDefault(&s.MinHedgeDelayMs, defaultMinHedgeDelayMs)
 	setDefault(&s.RelayIntervalMs, defaultRelayIntervalMs)
 	setDefault(&s.MaxQuarantineMs, defaultMaxQuarantineMs)
@@ -213,7 +213,7 @@
 	}
 	return firstErr(
 		oneOf("policy", s.Policy, PolicyHedged, PolicyNaive),
-		between("hedge_budget_percent", s.HedgeBudgetPct, 0, 100),
+		between("hedge_budget_percent", s.SecondRequestPercent, 0, 100),
 		positive("hedge_min_ms", s.MinHedgeDelayMs),
 		positive("quarantine_most_ms", s.MaxQuarantineMs),
 		positive("zone_penalty_ms", s.ZonePenaltyMs),
