--- a/pkg/entry/draining.go
+++ b/pkg/entry/draining.go
@@ -39,7 +39,7 @@
 		return
 	}
 	e.drainTimes.record(backend, time.Now())
-	e.log.WithField("backend", backend).Info("backend server is draining")
+	e.log.WithField("backend", backend).Info("backend server leaving")
 }
 
 // handleInstanceUpdate applies a row of the platform's instance list: it marks a backend
@@ -55,6 +55,6 @@
 		return
 	}
 	if e.table.SetDraining(inst.Name, false) {
-		e.log.WithField("backend", inst.Name).WithField("state", inst.State).Info("backend server is live again")
+		e.log.WithField("backend", inst.Name).WithField("state", inst.State).Info("instance list changed")
 	}
 }
--- a/pkg/entry/pause.go
+++ b/pkg/entry/pause.go
@@ -93,7 +93,7 @@
 // that the configuration service has, or after maxSettleTime without an answer.
 func (e *Entry) settleAfterPause(ctx context.Context) {
 	e.stats.pauses.Inc()
-	e.log.Info("process was paused: refusing requests until the configuration is confirmed")
+	e.log.Info("woke from a pause: refusing until the configuration is confirmed")
 	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	confirmed := false
@@ -107,7 +107,7 @@
 		service.Sleep(ctx, left)
 	}
 	e.pauseDetector.endSettling()
-	e.log.WithField("confirmed", confirmed).Info("settling after a pause ended")
+	e.log.WithField("confirmed", confirmed).Info("settled after a pause")
 }
 
 // checkForPause is called each tick. After a pause it blocks until settling has ended.
--- a/pkg/entry/plan.go
+++ b/pkg/entry/plan.go
@@ -120,7 +120,7 @@
 		e.gateway.SetEvacuated(zone, true)
 	}
 	e.plan.Store(p)
-	e.log.WithField("version", cfg.Version).Info("routing tables updated to a new configuration")
+	e.log.WithField("version", cfg.Version).Info("tables follow configuration")
 }
 
 // tableOptions returns the options of the leaf table, which chooses a leaf for each call.
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -235,7 +235,7 @@
 	}
 	if cfg != nil && cfg.Validate() == nil && r.store.ApplyIfNewer(cfg) {
 		r.configsTaken.Inc()
-		r.log.WithField("peer", addr).WithField("version", cfg.Version).Info("configuration received from a peer")
+		r.log.WithField("peer", addr).WithField("version", cfg.Version).Info("configuration taken from a peer")
 	}
 }
 
