--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -142,9 +142,9 @@
 	heldSince, heldUntil time.Time
 
 	// startWithTrial means that the query is first tried at a single leaf, preferably one of the
-	// shard suspectService. inTrial means that this trial is still in progress. leafsEnded is the
-	// number of leafs whose process ended while they had a request of this query. givenUp means
-	// that the query was ended because of that.
+	// shard suspectService. inTrial means that this trial is still in progress. leafsCrashed is
+	// the number of leafs that crashed while they had a request of this query. givenUp means that
+	// the query was ended because of such crashes.
 	startWithTrial, inTrial, givenUp bool
 	suspectService                   string
 	leafsCrashed                     int
@@ -161,7 +161,7 @@
 	Start, Deadline time.Time
 	// CallerRetried means that the caller was refused before and is retrying.
 	CallerRetried bool
-	// Suspect means that leafs have ended while they had the same request. SuspectService is the
+	// Suspect means that leafs have crashed while they had the same request. SuspectService is the
 	// shard of the last of them.
 	Suspect        bool
 	SuspectService string
--- a/pkg/fanout/trial.go
+++ b/pkg/fanout/trial.go
@@ -12,8 +12,8 @@
 // its second requests; the index is then unavailable for seconds. Harmless queries that were
 // merely in flight at the same leafs are distinguished from it by a leaf that answers them.
 
-// maxLeafsCrashed is the number of ended leafs at which a query that no leaf has answered is given
-// up. Its requests waiting in the queues of other leafs are then cancelled.
+// maxLeafsCrashed is the number of crashed leafs at which a query that no leaf has answered is
+// given up. Its requests waiting in the queues of other leafs are then cancelled.
 const maxLeafsCrashed = 3
 
 // startTrial sends the query to a single leaf, preferably of the suspected shard. The other
@@ -30,7 +30,7 @@
 	return q.sendTrial(q.trialShard(placements), now), nil
 }
 
-// trialShard returns the shard whose leaf is tried: the one at which leafs ended or, if it has no
+// trialShard returns the shard whose leaf is tried: the one at which leafs crashed or, if it has no
 // leaf, the first shard that has one.
 func (q *Query) trialShard(placements []shardPlacement) int {
 	first := 0
@@ -90,13 +90,13 @@
 // InTrial reports whether the query is being tried at a single leaf.
 func (q *Query) InTrial() bool { return q.inTrial }
 
-// suspected reports whether leafs have ended while they had a request of the query, and no leaf
+// suspected reports whether leafs have crashed while they had a request of the query, and no leaf
 // has answered it yet. No second requests are sent in this state. For a harmless query it lasts
 // some milliseconds, until the first reply of any shard; for one that crashes its leafs it does
 // not end.
 func (q *Query) suspected() bool { return q.leafsCrashed > 0 && q.coveredShards == 0 }
 
-// recordLeafCrash records that a leaf ended while it had a request of the query.
+// recordLeafCrash records that a leaf crashed while it had a request of the query.
 func (q *Query) recordLeafCrash() {
 	q.leafsCrashed++
 	if q.suspected() && q.leafsCrashed >= maxLeafsCrashed {
@@ -123,7 +123,7 @@
 	return false
 }
 
-// LeafsCrashed returns the number of leafs that ended while they had a request of the query.
+// LeafsCrashed returns the number of leafs that crashed while they had a request of the query.
 func (q *Query) LeafsCrashed() int { return q.leafsCrashed }
 
 // GiveUp ends the query because it is known to crash leafs.
--- a/pkg/fanout/trial_test.go
+++ b/pkg/fanout/trial_test.go
@@ -29,9 +29,9 @@
 	return New(table, route, defaultOptions(), params)
 }
 
-// Guards against a query that crashes 20 leafs. Its first requests ended one leaf of each shard;
+// Guards against a query that crashes 20 leafs. Its first requests crashed one leaf of each shard;
 // the query then sent its second requests to the other leafs of these shards, as after any
-// failure, and ended these, too. No leaf had answered it.
+// failure, and crashed these, too. No leaf had answered it.
 func TestNoSecondRequestsAfterLeafsCrashedBeforeFirstReply(t *testing.T) {
 	q := tenShardQuery(Params{})
 	requests, refusal := q.Start(epoch)
@@ -50,7 +50,7 @@
 }
 
 // A harmless query that is in flight at the same leafs gets replies from others. The first reply
-// lets it send second requests for the shards whose leafs ended, at once.
+// lets it send second requests for the shards whose leafs crashed, at once.
 func TestFirstReplyReleasesSecondRequestsAfterLeafsCrashed(t *testing.T) {
 	q := tenShardQuery(Params{})
 	q.Start(epoch)
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -30,7 +30,7 @@
 	return a
 }
 
-// recordLeafCrash records that a leaf process ended while it had a request.
+// recordLeafCrash records that a leaf crashed while it had a request.
 func (g *Gateway) recordLeafCrash(call LeafCall, tracked *replica.Call, now time.Time) {
 	req := call.Request
 	g.logVerdictChange(req.ID, g.quarantine.RecordLeafCrash(req.Key, req.ID, call.Leaf.ID, call.Service, tracked.StartTime(), now))
--- a/pkg/leafconn/leafconn_test.go
+++ b/pkg/leafconn/leafconn_test.go
@@ -262,7 +262,7 @@
 	}
 }
 
-// A leaf whose process ends while it has a request differs from one that only closes the
+// A leaf that crashes while it has a request differs from one that only closes the
 // connection: nothing listens at its address any more.
 func TestCrashedLeafIsDistinguishedFromClosedConnection(t *testing.T) {
 	for _, crashes := range []bool{true, false} {
--- a/pkg/leafconn/roundtrip.go
+++ b/pkg/leafconn/roundtrip.go
@@ -35,7 +35,7 @@
 	// Cancelled means that the request was cancelled through its context.
 	Cancelled
 	// LeafCrashed means that the request was sent, the connection ended, and nothing listens at
-	// the leaf's address any more: the leaf's process ended while it had the request.
+	// the leaf's address any more: the leaf crashed while it had the request.
 	LeafCrashed
 )
 
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -69,7 +69,7 @@
 	OpenConns     int64               `json:"open_leaf_connections"`
 	Leafs         []replica.LeafState `json:"leafs"`
 	Members       []MemberState       `json:"members"`
-	// Quarantine lists the requests that are suspected, or known, to end leafs.
+	// Quarantine lists the requests that are suspected or known to crash leafs.
 	Quarantine []quarantine.State `json:"quarantine"`
 	// EvacuatedZones lists the availability zones whose leafs must not get requests.
 	EvacuatedZones []string `json:"evacuated"`
--- a/pkg/quarantine/dump.go
+++ b/pkg/quarantine/dump.go
@@ -9,18 +9,18 @@
 type State struct {
 	Content string `json:"content"`
 	Verdict string `json:"verdict"`
-	// LeafsCrashed is the number of leafs whose process ended while they had the request, of which
-	// at most four are remembered. Service is the shard of the last one.
+	// LeafsCrashed is the number of leafs that crashed while they had the request, of which at
+	// most four are remembered. Service is the shard of the last one.
 	LeafsCrashed int    `json:"leafs_ended"`
 	Service      string `json:"service"`
 	Trials       int    `json:"trials"`
 	// RemainingMs is the time left of the quarantine; zero means that the request is not
-	// quarantined. SinceLastEndMs is the time since a leaf last ended.
+	// quarantined. SinceLastCrashMs is the time since the last crash.
 	RemainingMs      int64 `json:"left_ms"`
 	SinceLastCrashMs int64 `json:"quiet_ms"`
 }
 
-// Dump returns the requests that are suspected or quarantined, those with the most recent end
+// Dump returns the requests that are suspected or quarantined, those with the most recent crash
 // first.
 func (t *Table) Dump(now time.Time) []State {
 	t.mu.Lock()
--- a/pkg/quarantine/fleetsim_test.go
+++ b/pkg/quarantine/fleetsim_test.go
@@ -62,10 +62,10 @@
 	inTransit        []datagram
 	inFlight         []simRequest
 	attempts         int
-	// incarnations is how often each leaf has ended, and endedAt when it last did.
+	// incarnations is how often each leaf has crashed, and crashedAt when it last did.
 	incarnations [simShards * simReplicas]int
 	crashedAt    [simShards * simReplicas]time.Time
-	// thirdCrashAt is when the third leaf ended. lateRetries counts the retries after it that
+	// thirdCrashAt is when the third leaf crashed. lateRetries counts the retries after it that
 	// converged instances sent to leafs.
 	thirdCrashAt time.Time
 	leafsCrashed int
@@ -166,8 +166,8 @@
 	})
 }
 
-// completeDue records the outcome of the requests that are due. A crashing request ends its
-// leafs, together with any harmless requests there.
+// completeDue records the outcome of the requests that are due. A crashing request crashes its
+// leafs; harmless requests that are in flight there fail.
 func (s *sim) completeDue(crashing, harmless Key) {
 	var left []simRequest
 	for _, r := range s.inFlight {
@@ -195,7 +195,7 @@
 	s.inFlight = left
 }
 
-// recordLeafCrash makes an instance record that a leaf ended.
+// recordLeafCrash makes an instance record that a leaf crashed.
 func (s *sim) recordLeafCrash(r simRequest, k Key, leaf int) {
 	name := fmt.Sprint(leaf, "/", s.incarnations[leaf])
 	s.tables[r.instance].RecordLeafCrash(k, fmt.Sprint(r.attempt), name, "s", r.began, s.now)
@@ -253,7 +253,7 @@
 }
 
 // Guards against a crashing request that arrives at one instance after the other, each of which
-// lets it end leafs until it has seen this itself. Instances that exchange reports, over a
+// lets it crash leafs until it has seen this itself. Instances that exchange reports, over a
 // network that loses a fifth of the datagrams, with restarts and partitions, send it to leafs
 // three more times at most. A harmless request in flight at the same leafs is served.
 func TestFleetLimitsRetriesOfCrashingRequest(t *testing.T) {
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -11,11 +11,11 @@
 const (
 	// Sound means that the request is handled like any other.
 	Sound Verdict = iota
-	// Suspect means that leafs have ended while they had the request. It is tried at one leaf,
+	// Suspect means that leafs have crashed while they had the request. It is tried at one leaf,
 	// and is sound again if that leaf answers.
 	Suspect
-	// Quarantined means that the request also ended a leaf in a trial. For some time it is not
-	// sent to any leaf.
+	// Quarantined means that the request also crashed a leaf in a trial. For some time it is
+	// not sent to any leaf.
 	Quarantined
 )
 
@@ -23,16 +23,17 @@
 func (v Verdict) String() string { return [...]string{"sound", "suspect", "quarantined"}[v] }
 
 const (
-	// suspectThreshold is the number of leafs that must have ended while they had a request
-	// before that request is tried at a single leaf. A single end may have another cause: after
+	// suspectThreshold is the number of leafs that must have crashed while they had a request
+	// before that request is tried at a single leaf. A single crash may have another cause: after
 	// it, a request that needs only one leaf is sent to a second one, as after any failure.
 	suspectThreshold = 2
-	// recordTTL is how long a suspected request is remembered after the last event concerning it.
+	// recordTTL is how long a request is remembered after its last crash or the end of its
+	// quarantine, whichever is later.
 	recordTTL = 10 * time.Minute
 	// maxRecords is the maximum number of requests that are remembered; they take about 1 MB.
 	maxRecords = 4096
-	// maxCrashIDs is the maximum number of ends that are remembered for a request. More would not
-	// change the verdict.
+	// maxCrashIDs is the maximum number of crashes that are remembered for a request. More would
+	// not change the verdict.
 	maxCrashIDs = 4
 	// sweepInterval is the interval at which expired records are removed.
 	sweepInterval = 10 * time.Second
@@ -44,8 +45,8 @@
 )
 
 // quarantineDurations are the durations of the quarantine after the first, the second and any
-// further trial that ended a leaf. A request whose trial met a leaf that ended for another reason
-// is soon tried again. A request that always crashes its leaf ends three leafs in a day.
+// further trial that crashed a leaf. A request whose trial met a leaf that crashed for another
+// reason is soon tried again. A request that always crashes its leaf crashes three leafs in a day.
 var quarantineDurations = [...]time.Duration{10 * time.Second, 10 * time.Minute, 24 * time.Hour}
 
 // massQuarantineThreshold is the number of quarantined requests at which leafs are assumed to
@@ -54,7 +55,7 @@
 // duration.
 const massQuarantineThreshold = 16
 
-// A trial whose leaf neither answered nor ended yields no result: the leaf refused because it was
+// A trial whose leaf neither answered nor crashed yields no result: the leaf refused because it was
 // full, or the deadline passed. The next trial is delayed by minUnresolvedBackoff, and by twice
 // as long after each further one, up to maxUnresolvedBackoff.
 const (
@@ -64,15 +65,15 @@
 
 // record is what is known about one request.
 type record struct {
-	// crashIDs identify the ends of leafs that had the request, so that they can be merged with
-	// those that other instances saw.
+	// crashIDs identify the crashes of leafs that had the request, so that they can be merged
+	// with those that other instances saw.
 	crashIDs []uint64
-	// leaf is the leaf that ended last; it belongs to service.
+	// leaf is the leaf that crashed last; it belongs to service.
 	leaf, service string
-	// lastCrash is the time at which a leaf ended last.
+	// lastCrash is the time of the last crash.
 	lastCrash time.Time
-	// trials is the number of trials that ended a leaf. unresolved is the number of consecutive
-	// trials without a result.
+	// trials is the number of trials that crashed a leaf. unresolved is the number of
+	// consecutive trials without a result.
 	trials, unresolved int
 	// quarantinedUntil is the end of the quarantine; zero means that there was none.
 	quarantinedUntil time.Time
@@ -93,7 +94,7 @@
 	return Sound
 }
 
-// addCrash adds the ID of an end, and reports whether it was new and is remembered.
+// addCrash adds the ID of a crash, and reports whether it was new and is remembered.
 func (r *record) addCrash(id uint64) bool {
 	if len(r.crashIDs) >= maxCrashIDs || slices.Contains(r.crashIDs, id) {
 		return false
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -13,12 +13,12 @@
 // another version reads the fields that it knows.
 type Report struct {
 	Key Key `cbor:"1,keyasint" json:"key"`
-	// CrashIDs identify the ends of leafs that had the request. The last one was a leaf of Service
-	// and happened AgeMs ago.
+	// CrashIDs identify the crashes of leafs that had the request. The last one was that of a leaf
+	// of Service and happened AgeMs ago.
 	CrashIDs []uint64 `cbor:"2,keyasint,omitempty" json:"ends,omitempty"`
 	Service  string   `cbor:"3,keyasint,omitempty" json:"service,omitempty"`
 	AgeMs    uint32   `cbor:"4,keyasint,omitempty" json:"age_ms,omitempty"`
-	// Trials is the number of trials that ended a leaf. RemainingMs is the time left of the
+	// Trials is the number of trials that crashed a leaf. RemainingMs is the time left of the
 	// quarantine.
 	Trials      uint8  `cbor:"5,keyasint,omitempty" json:"trials,omitempty"`
 	RemainingMs uint32 `cbor:"6,keyasint,omitempty" json:"left_ms,omitempty"`
@@ -135,7 +135,7 @@
 }
 
 // Merge adds what another instance reports about a request, and returns the resulting change of
-// its verdict. The ends that two instances have seen are added up.
+// its verdict. The crashes that two instances have seen are added up.
 func (t *Table) Merge(report Report, now time.Time) VerdictChange {
 	eventAt := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
 	if report.Key == (Key{}) || now.Sub(eventAt) > recordTTL+quarantineDurations[len(quarantineDurations)-1] {
@@ -155,8 +155,8 @@
 	return t.verdictChange(report.Key, from, now)
 }
 
-// merge adds a report to the record. lastEnd is when the reported last end happened, and until is
-// the end of the reported quarantine.
+// merge adds a report to the record. lastCrash is when the last reported crash happened, and until
+// is the end of the reported quarantine.
 func (r *record) merge(report Report, lastCrash, until time.Time) {
 	fresh := len(r.crashIDs) == 0
 	for _, id := range report.CrashIDs {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -11,12 +11,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table records the requests that leafs had in flight when their process ended. It is safe for
-// concurrent use and does no I/O; the current time is an argument.
+// Table records the requests that leafs had in flight when they crashed. A leaf counts as crashed
+// when its process ends while it has a request. Table is safe for concurrent use and does no I/O;
+// the current time is an argument.
 //
 // Without it, a request that crashes leafs is sent to a leaf of every shard, then to the other
 // leafs as a retry after a failure, and again with each attempt of its callers. The symptom is
-// that all leafs of a service end together, again and again, and that one of the queries in
+// that all leafs of a service crash together, again and again, and that one of the queries in
 // flight was never answered by any leaf. Requests that were merely in flight at the same leafs
 // are distinguished from it by a trial: a leaf answers them.
 type Table struct {
@@ -36,7 +37,7 @@
 
 // Counts are counters of events since the start.
 type Counts struct {
-	// LeafsCrashed counts the ends of leafs that had requests of this instance.
+	// LeafsCrashed counts the crashes of leafs that had requests of this instance.
 	LeafsCrashed atomic.Int64
 	// Trials counts the requests that were tried at one leaf.
 	Trials atomic.Int64
@@ -66,7 +67,7 @@
 type VerdictChange struct {
 	Key      Key
 	From, To Verdict
-	// LeafsCrashed is the number of leafs that ended while they had the request, as far as
+	// LeafsCrashed is the number of leafs that crashed while they had the request, as far as
 	// remembered. Service is the shard of the last one.
 	LeafsCrashed int
 	Service      string
@@ -147,9 +148,9 @@
 	return Admission{}
 }
 
-// RecordLeafCrash records that a leaf of a service ended while it had an attempt of a request that
-// was sent to it at began. If the leaf had several attempts of the request when it ended, they
-// count once.
+// RecordLeafCrash records that a leaf of a service crashed while it had an attempt of a request
+// that was sent to it at began. If the leaf had several attempts of the request when it crashed,
+// they count once.
 func (t *Table) RecordLeafCrash(k Key, attempt, leaf, service string, began, now time.Time) VerdictChange {
 	if k == (Key{}) {
 		return VerdictChange{}
@@ -177,9 +178,9 @@
 	Unsent TrialOutcome = iota
 	// Answered means that a leaf answered the request.
 	Answered
-	// LeafCrashed means that the leaf ended.
+	// LeafCrashed means that the leaf crashed.
 	LeafCrashed
-	// Unresolved means that the leaf received the request, but neither answered nor ended.
+	// Unresolved means that the leaf received the request, but neither answered nor crashed.
 	Unresolved
 )
 
@@ -215,7 +216,7 @@
 	return t.verdictChange(k, from, now)
 }
 
-// quarantineDuration returns the duration of the quarantine after a trial that ended a leaf. The
+// quarantineDuration returns the duration of the quarantine after a trial that crashed a leaf. The
 // caller must hold mu.
 func (t *Table) quarantineDuration(r *record, now time.Time) time.Duration {
 	if t.countLocked(Quarantined, now) >= massQuarantineThreshold {
@@ -251,7 +252,7 @@
 const evictDivisor = 8
 
 // evict makes room for new records. It removes the records with the mildest verdicts and, among
-// these, those whose last end is longest ago. The caller must hold mu.
+// these, those whose last crash is longest ago. The caller must hold mu.
 func (t *Table) evict(now time.Time) {
 	keys := slices.SortedFunc(maps.Keys(t.records), func(a, b Key) int {
 		x, y := t.records[a], t.records[b]
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -29,7 +29,7 @@
 	return t, k
 }
 
-// A request during which leafs ended is tried at one leaf, and quarantined if that leaf ends,
+// A request during which leafs crashed is tried at one leaf, and quarantined if that leaf crashes,
 // too.
 func TestRequestThatCrashesLeafsIsQuarantined(t *testing.T) {
 	table, k := NewTable(), key(0)
@@ -49,7 +49,7 @@
 	require.Equal(t, Sound, table.Admit(Key{}, at(2*time.Second)).Verdict, "a request without a key is not affected")
 }
 
-// A request that was in flight by chance when leafs ended is cleared when a leaf answers it.
+// A request that was in flight by chance when leafs crashed is cleared when a leaf answers it.
 func TestAnsweredTrialClearsSuspect(t *testing.T) {
 	table, k := tableWithSuspect()
 	require.Equal(t, Suspect, table.Admit(k, at(time.Second)).Verdict)
@@ -92,7 +92,7 @@
 	require.Equal(t, Suspect, table.Admit(k, now).Verdict)
 }
 
-// Several attempts of one request that a leaf had when it ended count as one end.
+// Several attempts of one request that a leaf had when it crashed count as one crash.
 func TestAttemptsAtOneLeafCountAsOneCrash(t *testing.T) {
 	table, k := NewTable(), key(0)
 	for _, attempt := range []string{"r1", "r2", "r3"} {
@@ -126,8 +126,8 @@
 	require.Zero(t, table.recordCount.Load())
 }
 
-// The ends that two instances have seen are added up, and the verdict of one instance reaches the
-// other.
+// The crashes that two instances have seen are added up, and the verdict of one instance reaches
+// the other.
 func TestInstancesMergeReports(t *testing.T) {
 	a, b, k := NewTable(), NewTable(), key(0)
 	a.RecordLeafCrash(k, "r1", "x", "s", epoch, epoch)
@@ -193,7 +193,7 @@
 		"a report that is too old is ignored")
 }
 
-// Guards against long quarantines after a bad release, when leafs end on any request. Each
+// Guards against long quarantines after a bad release, when leafs crash on any request. Each
 // request that arrives again would be quarantined for minutes and then for a day, even after the
 // release has been rolled back.
 func TestQuarantineIsShortIfAllRequestsCrashLeafs(t *testing.T) {
--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -34,8 +34,8 @@
 	// PeerRefused means that the peer instance did not send the request. It did not run, and the
 	// outcome says nothing about the leaf.
 	PeerRefused
-	// LeafCrashed means that the leaf's process exited while it had the request. The request
-	// may have run, and it may have caused the exit.
+	// LeafCrashed means that the leaf's process ended while it had the request. The request may
+	// have run, and it may have caused the crash.
 	LeafCrashed
 )
 
--- a/pkg/sock/refuses.go
+++ b/pkg/sock/refuses.go
@@ -21,6 +21,6 @@
 }
 
 // RefusalTimeout is the timeout of the check whether a server that closed the connection of a
-// request has ended. It allows for some round trips between zones and a late timer on a small
+// request has crashed. It allows for some round trips between zones and a late timer on a small
 // processor. A longer one would delay a retry at another server.
 const RefusalTimeout = 50 * time.Millisecond
