--- a/pkg/cli/evacuate_test.go
+++ b/pkg/cli/evacuate_test.go
@@ -11,8 +11,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/demo"
 )
 
-// Guards against an operator command that has no effect, or that hides that the configuration service
-// refused the change.
+// Guards against an operator command that has no effect, or that hides that the configuration
+// service refused the change.
 func TestEvacuateCommandAppliesOrReportsRefusal(t *testing.T) {
 	c, err := demo.StartCluster(demo.Lipovec, io.Discard)
 	require.NoError(t, err)
--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -40,9 +40,9 @@
 	// reading is whether this instance reads the store. readingChanged is signalled on a change.
 	reading        atomic.Bool
 	readingChanged chan struct{}
-	// onChange is called when there is news for the peers that listen to this instance.
+	// onChange is called when there are changes to send to subscribers.
 	onChange func()
-	// onCurrent receives the time between successive proofs that the data is up to date.
+	// onCurrent receives, each time currentAsOf advances, by how much it does.
 	onCurrent func(time.Duration)
 
 	// mu guards the cache, and the order of the calls to the sink.
@@ -73,7 +73,7 @@
 	// currentAsOf is the time up to which all that the store published is known.
 	currentAsOf atomic.Pointer[time.Time]
 	// answeredAt is when the store last answered this instance itself; confirmedAt is when it
-	// last answered this one or an instance that it listens to.
+	// last answered this one or an instance to which it subscribes.
 	answeredAt, confirmedAt atomic.Pointer[time.Time]
 }
 
@@ -89,7 +89,7 @@
 // Restores returns how many times the store has come back in another era.
 func (f *Follower) Restores() int64 { return f.restores.Load() }
 
-// Age returns the staleness of the data, that is the time since it was last proven to be up to
+// Age returns the staleness of the data, that is the time since it was last known to be up to
 // date. It is 0 before anything is known.
 func (f *Follower) Age(now time.Time) time.Duration {
 	at := f.currentAsOf.Load()
@@ -218,7 +218,7 @@
 	}
 }
 
-// recordAbandoned records a cancelled call. The next one shows whether the store is available.
+// recordAbandoned records an abandoned call. The next one shows whether the store is available.
 func (f *Follower) recordAbandoned(c call) {
 	now := time.Now()
 	f.calls.Add(1)
--- a/pkg/discovery/events.go
+++ b/pkg/discovery/events.go
@@ -89,11 +89,11 @@
 	LeafRemoved(id string)
 	// LeafUnreadable reports a leaf whose entry cannot be decoded.
 	LeafUnreadable(id string)
-	// ZoneEvacuationChanged reports that the operator evacuates a zone or takes it back.
+	// ZoneEvacuationChanged reports that the operator evacuates a zone or readmits it.
 	ZoneEvacuationChanged(zone string, evacuated bool)
 	// Listed reports a complete listing. Whatever it lacks has been removed.
 	Listed(l Listing)
 	ConfigUpdated(c *routing.Config, origin Origin)
-	// StoreRecovered is called before the first events after an outage.
+	// StoreRecovered is called before the first events after an outage or a restore of the store.
 	StoreRecovered()
 }
--- a/pkg/discovery/peerfeed.go
+++ b/pkg/discovery/peerfeed.go
@@ -13,12 +13,12 @@
 // This file holds the part of the follower that deals with other instances: it applies what they
 // have read, provides what this one knows, and stops reading the store when others do.
 
-// OnChange sets a function that is called when there is something new for listeners. It must be
-// called before Run.
+// OnChange sets a function that is called when there are changes to send to subscribers. It must
+// be called before Run.
 func (f *Follower) OnChange(onChange func()) { f.onChange = onChange }
 
-// OnCurrent sets a function that receives, each time the data is proven to be up to date, the time
-// since the previous proof. It must be called before Run.
+// OnCurrent sets a function that receives, each time the data is found to be up to date as of a
+// later time, the difference to the previous such time. It must be called before Run.
 func (f *Follower) OnCurrent(onCurrent func(time.Duration)) { f.onCurrent = onCurrent }
 
 // ChangesSince returns what changed after a position.
@@ -46,9 +46,10 @@
 	}
 }
 
-// MarkConfirmed is Proven for a peer that got the answer from the store itself. Only these times are
-// passed on to other instances: each hop makes an answer seem younger by the time in transit, so
-// instances that passed on what they were told would never see the data become stale.
+// MarkConfirmed is like MarkCurrent, for a time at which the store answered this instance or the
+// peer itself. Only these times are passed on to other instances: each hop makes an answer seem
+// younger by the time in transit, so instances that passed on the times that they received would
+// never see the data become stale.
 func (f *Follower) MarkConfirmed(at time.Time) {
 	advanceTime(&f.confirmedAt, at)
 	f.MarkCurrent(at)
@@ -67,8 +68,8 @@
 	}
 }
 
-// ConfirmedAt returns when the store last answered this instance or one that it listens to; zero
-// if it never has.
+// ConfirmedAt returns when the store last answered this instance or one to which it subscribes;
+// zero if it never has.
 func (f *Follower) ConfirmedAt() time.Time { return loadTime(&f.confirmedAt) }
 
 // noteAnswer records an answer of the store after its content has been applied, so that the data
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -161,7 +161,7 @@
 
 // Stop shuts the entry instance down gracefully. The health endpoint reports
 // "leaving" at once so that the load balancer stops sending requests. Requests are
-// still served for the drain grace period; after it, new requests are refused
+// still served for the lame-duck period; after it, new requests are refused
 // without being run and with a retry hint. Stop waits for every request in flight
 // to finish before it closes the listener.
 func (e *Entry) Stop(ctx context.Context) error {
--- a/pkg/fanout/progress.go
+++ b/pkg/fanout/progress.go
@@ -135,9 +135,10 @@
 }
 
 // budgetWaitOver reports whether a shard with nothing in flight is excluded because its second
-// request found no budget. Before the target, budget may still become available, and the query
-// waits for the other shards anyway. After the target, the query waits for a fraction of the
-// remaining time only, so that its caller still has time to retry.
+// request found no budget. A query without a target excludes it at once. Before the target, budget
+// may still become available, and the query waits for the other shards anyway. After the target,
+// the query waits for a fraction of the remaining time only, so that its caller still has time to
+// retry.
 func (q *Query) budgetWaitOver(now time.Time) bool {
 	return !q.hasTarget() || !now.Before(q.lateCutoff())
 }
--- a/pkg/feed/cache.go
+++ b/pkg/feed/cache.go
@@ -1,8 +1,8 @@
 // Package feed distributes what the platform's store publishes among the instances of an
 // availability zone, so that only a few of them read the store. A Cache holds the latest entry of
-// each key and returns the changes since a position. A Planner decides which peers an instance
-// listens to and whether it reads the store itself. The package does no I/O and takes the time as
-// an argument.
+// each key and returns the changes since a position. A Planner decides to which peers an
+// instance subscribes and whether it reads the store itself. The package does no I/O and takes the
+// time as an argument.
 package feed
 
 import (
@@ -85,15 +85,15 @@
 type Cache struct {
 	items    map[string]Item
 	position Position
-	// deltaFloor is the position up to which deletions may have been forgotten. Listeners that
-	// are behind it get a snapshot.
+	// deltaFloor is the position up to which deletions may have been forgotten. Subscribers
+	// that are behind it get a snapshot.
 	deltaFloor Position
 	tombstones int
 	// synced means that the cache holds all entries as of some position.
 	synced      bool
 	recoveredAt time.Time
-	// hasLost means that there may be entries of an era that has ended. The restored store has
-	// lost them, and they are held for a while so that their writers can write them again.
+	// hasLost means that there may be lost entries: those of an era that has ended, which the
+	// restored store lacks. They are kept for a while so that their writers can write them again.
 	hasLost bool
 }
 
@@ -146,7 +146,7 @@
 		changed = append(changed, c.deleteMissing(u)...)
 	}
 	if u.Full && (!c.synced || u.To.After(c.position)) {
-		// The cache does not know the deletions before this position. Listeners that are behind
+		// The cache does not know the deletions before this position. Subscribers that are behind
 		// it need a snapshot, or they would go on using leafs that were removed in between.
 		c.synced, c.deltaFloor = true, u.To
 	}
@@ -179,12 +179,12 @@
 	return true
 }
 
-// deleteMissing deletes the entries that a snapshot lacks. It keeps those of an earlier era: the
-// store has lost them, and they are held.
+// deleteMissing deletes the entries that a snapshot lacks. It keeps those of an earlier era,
+// which the store has lost.
 func (c *Cache) deleteMissing(u Update) []Item {
 	listed := make(map[string]bool, len(u.Items))
 	for _, it := range u.Items {
-		listed[it.Key] = it.At.Era == u.To.Era // Entries that the sender merely holds are lost.
+		listed[it.Key] = it.At.Era == u.To.Era // Entries of an earlier era are lost.
 	}
 	var out []Item
 	for key, it := range c.items {
@@ -207,7 +207,7 @@
 	return deletion
 }
 
-// ExpireLost deletes the entries that are still held when the grace period for writing them again
+// ExpireLost deletes the entries that are still lost when the grace period for writing them again
 // is over, and returns their tombstones. The entry under keptKey stays until it is replaced.
 func (c *Cache) ExpireLost(now time.Time, grace time.Duration, keptKey string) []Item {
 	if !c.hasLost || now.Sub(c.recoveredAt) < grace {
--- a/pkg/feed/cache_test.go
+++ b/pkg/feed/cache_test.go
@@ -78,7 +78,7 @@
 	require.Equal(t, map[string]int64{"a": 3, "d": 12}, liveRevisions(c))
 }
 
-// Deletions are not remembered forever: listeners that are behind the last dropped one get a
+// Deletions are not remembered forever: subscribers that are behind the last dropped one get a
 // snapshot.
 func TestDroppedTombstonesForceASnapshot(t *testing.T) {
 	c := NewCache()
@@ -109,9 +109,9 @@
 	require.NoError(t, valid.Validate())
 }
 
-// Guards against listeners that go on using removed leafs. The store drops its history, a leaf is
+// Guards against subscribers that go on using removed leafs. The store drops its history, a leaf is
 // removed in the gap, and the reader lists the store again into a new cache that does not know
-// the deletion. Listeners behind that listing were sent only what is newer.
+// the deletion. Subscribers behind that listing were sent only what is newer.
 func TestNewCacheSendsSnapshotToSubscribersBehindItsListing(t *testing.T) {
 	subscriber := NewCache()
 	subscriber.Apply(snapshot(10, entry("stays", 3), entry("left", 4)))
@@ -138,7 +138,7 @@
 	require.Equal(t, map[string]int64{"a": 3, "between": 11, "late": 12}, liveRevisions(subscriber))
 }
 
-// A recovery of the store is new only once, and is sent to listeners for as long as it matters.
+// A recovery of the store is new only once, and is sent to subscribers for as long as it matters.
 func TestStoreRecoveryIsReported(t *testing.T) {
 	c := NewCache()
 	require.True(t, c.NoteRecovery(testStart))
@@ -230,7 +230,7 @@
 
 // Guards against leafs that stay in use forever after they left. One instance has a leaf from the
 // restored store. Its peer missed that the leaf was added and removed there, and sends the entry
-// that it still holds from the era before.
+// that it still keeps from the era before.
 func TestLostEntryDoesNotCountAsListed(t *testing.T) {
 	c, peer := restoredCache(testStart), restoredCache(testStart)
 	c.Apply(Update{From: atEra(1, 12), To: atEra(1, 14), Items: withEra(1, entry("leaf", 14))})
@@ -249,7 +249,7 @@
 	require.Len(t, c.Apply(snapshot(25, entry("config", 10), entry("missed", 12))), 1, "a newer snapshot holds only live entries")
 }
 
-// Guards against listeners that go on using leafs removed while the history was lost, when the
+// Guards against subscribers that go on using leafs removed while the history was lost, when the
 // reader that lists the store again keeps its cache.
 func TestSnapshotIsSentToSubscribersBehindARelisting(t *testing.T) {
 	c := NewCache()
--- a/pkg/feed/planner.go
+++ b/pkg/feed/planner.go
@@ -23,23 +23,23 @@
 	// connection, and a call to a slow store (0.4 s).
 	newSourceGrace = 700 * time.Millisecond
 	// maxSourcesAhead and maxSourcesBehind are the maximum numbers of instances ahead of and
-	// behind an instance that it listens to while none of them has fresh data. exhaustedWait is
-	// how long an instance with maxSourcesAhead stale sources waits before it reads the store
+	// behind an instance to which it subscribes while none of them has fresh data. exhaustedWait
+	// is how long an instance with maxSourcesAhead stale sources waits before it reads the store
 	// itself; it waits newSourceGrace longer for every 2 further instances ahead of it.
 	maxSourcesAhead  = 8
 	maxSourcesBehind = 4
 	exhaustedWait    = 3 * time.Second
 )
 
-// Planner decides which instances this one listens to, and whether it reads the store.
+// Planner decides to which instances this one subscribes, and whether it reads the store.
 //
-// All instances of a zone have the same order. Each listens to the first 2 instances ahead of it
+// All instances of a zone have the same order. Each subscribes to the first 2 instances ahead of it
 // whose data from the store is fresh, and the first 2 of all read the store. A reader may be
 // killed, freeze, be partitioned off, or be refused by the store while others are not; its
-// listeners notice that its data becomes stale. Then the next ones in the order take its place, 2
+// subscribers notice that its data becomes stale. Then the next ones in the order take its place, 2
 // at a time, so that an outage of the store does not bring all instances to it at once. An
-// instance that reads without getting an answer listens to those behind it. Data is as old as the
-// store's answer that it stems from, so that two instances that listen to each other do not
+// instance that reads without getting an answer subscribes to those behind it. Data is as old as
+// the store's answer that it stems from, so that two instances that subscribe to each other do not
 // mistake each other's cached data for fresh.
 type Planner struct {
 	opts    Options
@@ -48,7 +48,7 @@
 	listeningSince map[string]time.Time
 	// readingSince is when this instance began to read the store; zero while it does not.
 	readingSince time.Time
-	// exhaustedSince is since when this instance has listened to maxSourcesAhead instances
+	// exhaustedSince is since when this instance has subscribed to maxSourcesAhead instances
 	// without enough usable ones among them; zero if it does not.
 	exhaustedSince time.Time
 }
@@ -74,7 +74,7 @@
 	Synced bool
 }
 
-// Decide returns the instances to listen to, and whether to read the store.
+// Decide returns the instances to subscribe to, and whether to read the store.
 func (p *Planner) Decide(v View, now time.Time) (sources []string, read bool) {
 	usable := 0
 	listeningSince := make(map[string]time.Time)
--- a/pkg/feed/planner_test.go
+++ b/pkg/feed/planner_test.go
@@ -114,7 +114,7 @@
 	return oldest
 }
 
-// Without faults two instances read, and all others listen to both.
+// Without faults two instances read, and all others subscribe to both.
 func TestTwoInstancesReadForTheZone(t *testing.T) {
 	z := newSimZone(40)
 	z.run(5 * time.Second)
--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -11,9 +11,9 @@
 // Batcher sends the requests of a query to leafs of another availability zone through a
 // peer instance in that zone.
 type Batcher interface {
-	// Send reports whether a peer accepted the batch; if not, nothing was sent. It calls take
-	// with the replies as they arrive, and reports each call of the batch exactly once. The
-	// replies passed in one invocation of take belong together. cancel aborts the batch.
+	// Send reports whether a peer accepted the batch; if not, nothing was sent. It calls
+	// deliver with the replies as they arrive, and reports each call of the batch exactly once. The
+	// replies passed in one invocation of deliver belong together. cancel aborts the batch.
 	Send(b Batch, deliver func([]BatchReply)) (cancel func(), ok bool)
 }
 
@@ -32,7 +32,7 @@
 
 // BatchReply is the outcome of one call of a batch.
 //
-// The records of all successes that are passed in one invocation of take are merged into
+// The records of all successes that are passed in one invocation of deliver are merged into
 // the content of the first one: either all of these parts are used in the answer, or none.
 type BatchReply struct {
 	// Call is the index of the call in Batch.Calls.
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -42,8 +42,8 @@
 	// NetworkDelay is the time that the request and its answer together spend between the
 	// caller and this instance. The caller's timeout includes it.
 	NetworkDelay time.Duration
-	// HandoffTimedOut reports that the query was handed to another instance which did not
-	// claim it in time, so that this instance runs it.
+	// HandoffTimedOut reports that the query was handed off to another instance, which did not
+	// accept it in time, so that this instance runs it.
 	HandoffTimedOut bool
 	// Timeout is how long the caller waits for the answer; zero: the caller stated none.
 	Timeout time.Duration
--- a/pkg/gateway/gatherers.go
+++ b/pkg/gateway/gatherers.go
@@ -17,12 +17,12 @@
 // seconds in which hardly a query is refused and most are late. Run by a few instances, the
 // queries of a zone share what those instances have observed.
 type Gatherers interface {
-	// HandOff hands a query to a gatherer. ok is false if no gatherer accepted it or this
+	// HandOff hands a query off to a gatherer. ok is false if no gatherer accepted it or this
 	// instance is to run it itself; nothing has run in that case.
 	HandOff(ctx context.Context, q GatherQuery) (a Answer, ok bool)
 }
 
-// GatherQuery is a query that may be delegated.
+// GatherQuery is a query that may be handed off.
 type GatherQuery struct {
 	Request *Request
 	Route   *routing.Route
@@ -35,7 +35,7 @@
 	Deadline time.Time
 }
 
-// UseGatherers makes this instance delegate queries to gatherers of its zone. It must be called
+// UseGatherers makes this instance hand queries off to gatherers of its zone. It must be called
 // before requests are served.
 func (g *Gateway) UseGatherers(gatherers Gatherers) { g.gatherers = gatherers }
 
--- a/pkg/gateway/gatherers_test.go
+++ b/pkg/gateway/gatherers_test.go
@@ -33,9 +33,9 @@
 	require.Equal(t, 1, handedOff)
 }
 
-// Guards against a caller seeing a configuration that has been replaced. A query is delegated to
+// Guards against a caller seeing a configuration that has been replaced. A query is handed off to
 // an instance that has not yet received the newest configuration, or has a newer one, and would
-// run it under another version than that of the delegating instance.
+// run it under another version than that of the instance that hands it off.
 func TestQueriesOfAnotherConfigVersionAreDeclined(t *testing.T) {
 	g := newGateway(t, 2, answered)
 	req := &Request{ID: "r", Host: "h", Path: "/all/x", Arrived: time.Now(), Timeout: time.Minute}
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// A query delegated by another instance is refused according to this instance's quarantine.
+// A query handed off by another instance is refused according to this instance's quarantine.
 func TestQuarantineAppliesToHandedOffQueries(t *testing.T) {
 	var calls atomic.Int64
 	g := newGateway(t, 20, crashingLeafs(&calls))
--- a/pkg/gateway/tick.go
+++ b/pkg/gateway/tick.go
@@ -18,8 +18,9 @@
 // suspicion of a zone ends with the first probe, within 300 ms.
 const isolationDelay = 250 * time.Millisecond
 
-// Tick runs the periodic tasks: it removes leafs that did not return, suspects and probes
-// silent zones, updates the isolation state and cleans up the quarantine table.
+// Tick runs the periodic tasks: it removes lapsed leafs whose grace period is over, suspects and
+// probes silent zones, updates the isolation state, logs evacuated zones without requests and
+// cleans up the quarantine table.
 func (g *Gateway) Tick(now time.Time) {
 	for _, id := range g.table.Sweep(now) {
 		g.leafs.RemoveLeaf(id)
@@ -56,8 +57,8 @@
 	return c.Services[leaf.Services[0]].HealthPath
 }
 
-// updateIsolation logs whether the instance is cut off from so many leafs that some gather route
-// cannot be served.
+// updateIsolation records and logs whether the instance is cut off from so many leafs that some
+// gather route cannot be served.
 //
 // When an availability zone is cut off, its callers still reach its instances, which can only
 // refuse because some shards have no leaf in the zone. The instances of other zones could serve
--- a/pkg/longpoll/longpoll.go
+++ b/pkg/longpoll/longpoll.go
@@ -36,7 +36,7 @@
 }
 
 // MaxPropagationDelay returns the maximum delay until an instance learns of a change. It is
-// counted from the publication of the change or from the service's return after an outage,
+// counted from the publication of the change or from the service's recovery from an outage,
 // whichever is later, and assumes at most one unanswered call at any moment. answer is the time
 // that the service takes to answer.
 func (o Options) MaxPropagationDelay(answer time.Duration) time.Duration {
@@ -44,7 +44,7 @@
 	if o.FreshnessInterval > 0 {
 		staleCall = max(o.FreshnessInterval, o.CoalesceDelay) + o.FreshnessSlack + o.Jitter
 	}
-	// hungCall covers a call that was made just before the service returned.
+	// hungCall covers a call that was made just before the service recovered.
 	hungCall := o.ProbeWait + o.RetryTimeout + o.MinBackoff
 	return max(staleCall, hungCall, o.MaxBackoff) + answer
 }
--- a/pkg/membership/probe.go
+++ b/pkg/membership/probe.go
@@ -80,7 +80,7 @@
 }
 
 // expireMembers declares suspects dead after the suspicion timeout, and forgets members that have
-// been dead or gone for DeadRetention.
+// been dead or left for DeadRetention.
 func (s *State) expireMembers(now time.Time) {
 	timeout := s.opts.SuspicionTimeout * time.Duration(max(s.log2Members(), 3)) / 3
 	for name, m := range s.members {
--- a/pkg/membership/protocol.go
+++ b/pkg/membership/protocol.go
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// promptRefutation queues what is believed of a member that sends messages although it is
-// believed gone, so that it hears of it and refutes it. The gossip of its death may have ended
-// while the member was partitioned off.
+// promptRefutation queues the known status of a member that sends messages although it is not
+// believed alive, so that the member receives that statement and refutes it. The gossip of its
+// death may have ended while the member was partitioned off.
 func (s *State) promptRefutation(from Member) {
 	known := s.members[from.Name]
 	if known != nil && known.Status != Alive && from.Status == Alive {
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -159,7 +159,7 @@
 	return n.peering.agent.QueriesHandedOff.Load()
 }
 
-// connected lists the peers that queries may be handed to.
+// connected returns the names of the connected peers.
 func (p *peering) connected() []string {
 	if p == nil {
 		return nil
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -402,7 +402,8 @@
 type simFleet struct {
 	store *simStore
 	set   *settings.Node
-	// sources lists the peers that each instance listens to; messageDelay is a message's latency.
+	// sources lists the peers to which each instance subscribes. messageDelay is the latency of
+	// a message.
 	sources      [][]int
 	messageDelay time.Duration
 	instances    []*simInstance
@@ -414,7 +415,7 @@
 }
 
 // newSimFleet starts instances that read the store. sources lists, for each instance, the numbers
-// of those that it listens to. messageDelay is how long a message takes.
+// of those to which it subscribes. messageDelay is how long a message takes.
 func newSimFleet(set *settings.Node, sources [][]int, messageDelay time.Duration) *simFleet {
 	f := &simFleet{store: newSimStore(), set: set, sources: sources, messageDelay: messageDelay, instances: make([]*simInstance, len(sources))}
 	f.ctx, f.stop = context.WithCancel(context.Background())
@@ -429,7 +430,7 @@
 	return f
 }
 
-// start starts an instance, which does not listen to others yet.
+// start starts an instance, which does not subscribe to others yet.
 func (f *simFleet) start(n int) {
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 1, Burst: 1, Buffer: 1})
 	log.Close(time.Second)
@@ -502,7 +503,7 @@
 // simStatusInterval is how often an instance reports its position to another.
 const simStatusInterval = 300 * time.Millisecond
 
-// simTick is how often held entries are checked for expiry.
+// simTick is how often lost entries are checked for expiry.
 const simTick = 50 * time.Millisecond
 
 // runSweeps runs an instance's ticks until it ends.
@@ -528,7 +529,7 @@
 	defer ticker.Stop()
 	for {
 		switch {
-		case f.partitioned(): // The connection is lost; the next one starts at the listener's position.
+		case f.partitioned(): // The connection is lost; the next one starts at the known position.
 			sent = subscriber.follower.Position()
 			subscription.Renew(time.Now())
 		default:
@@ -544,7 +545,7 @@
 	}
 }
 
-// sendUpdate sends what is new to a listener and returns the position up to which it was sent.
+// sendUpdate sends what is new to a subscriber and returns the position up to which it was sent.
 func (f *simFleet) sendUpdate(from *discovery.Follower, subscriber *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
 	confirmed, answered, update := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.ChangesSince(sent)
 	known := from.Synced()
@@ -578,10 +579,10 @@
 	return time.Since(at)
 }
 
-// unconnected returns the sources of instances that do not listen to each other.
+// unconnected returns the sources of instances that do not subscribe to each other.
 func unconnected(n int) [][]int { return make([][]int, n) }
 
-// ring returns the sources of instances that each listen to the next two.
+// ring returns the sources of instances that each subscribe to the next two.
 func ring(n int) [][]int {
 	out := make([][]int, n)
 	for i := range out {
--- a/pkg/oplog/oplog.go
+++ b/pkg/oplog/oplog.go
@@ -92,8 +92,9 @@
 	}
 }
 
-// Decision logs a decision about a request, within the budget of its event.
-// The next line of that event reports how many lines were suppressed.
+// Decision logs a decision about a request, or another event that may be
+// frequent, within the budget of its event. The next line of that event reports
+// how many lines were suppressed.
 func (l *Log) Decision(event string, fields Fields) {
 	if !l.isEnabled(event) {
 		return
--- a/pkg/peers/batchserver.go
+++ b/pkg/peers/batchserver.go
@@ -53,9 +53,9 @@
 }
 
 // run sends the leaf calls and returns their replies. Successes are collected until the flush time
-// of the batch and then in steps. A failure is returned at once, since another leaf may be asked.
-// At the flush time a frame is sent even without replies, to show the requesting peer that this
-// instance is alive.
+// of the batch, and after it for the flush interval each time. A failure is returned at once, since
+// another leaf may be asked. At the flush time a frame is sent even without replies, to show the
+// requesting peer that this instance is alive.
 func (w *batchRun) run() {
 	defer w.release()
 	w.c.s.BatchesServed.Add(1)
--- a/pkg/peers/clientconn.go
+++ b/pkg/peers/clientconn.go
@@ -21,7 +21,7 @@
 	// connection is closed.
 	onTimeout func(*clientConn)
 	onClosed  func(*clientConn, error)
-	// onFeedStatus and onPage receive frames about the store; nil if no feed is used.
+	// onFeedStatus and onUpdate receive frames about the store; nil if no feed is used.
 	onFeedStatus func(*clientConn, feedStatus)
 	onUpdate     func(*clientConn, []byte) error
 	// subscribed reports whether the peer was asked for its feed. Peers.mu guards it.
--- a/pkg/peers/frames.go
+++ b/pkg/peers/frames.go
@@ -51,7 +51,7 @@
 	// kindHeartbeat shows that the server is alive while queries are open (server to client).
 	kindHeartbeat
 	// kindSubscribe asks for changes of the store (client to server). kindFeedStatus describes
-	// how current the server is, and kindPage holds changes (server to client).
+	// how current the server is, and kindUpdate holds changes (server to client).
 	kindSubscribe
 	kindFeedStatus
 	kindUpdate
@@ -179,8 +179,8 @@
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Request requestFrame
-	// TimeoutMs is the time that the leafs have. FlushUs is when the first replies are returned
-	// at the latest, and StepUs how long further replies are collected.
+	// TimeoutMs is the time that the leafs have. FlushAfterUs is when the first replies are
+	// returned at the latest, and FlushIntervalUs how long further replies are collected.
 	TimeoutMs       uint32
 	FlushAfterUs    uint32
 	FlushIntervalUs uint32
@@ -216,8 +216,8 @@
 	Status  uint16
 	TookUs  uint32
 	Proof   string
-	// Load is the load that the leaf reported: running and waiting requests, slots, and pace in
-	// percent (0 if unknown). It is empty if the leaf reported none.
+	// Load is the load that the leaf reported: running and waiting requests, slots, and
+	// slowdown in percent (0 if unknown). It is empty if the leaf reported none.
 	Load []uint32
 }
 
--- a/pkg/peers/gossip.go
+++ b/pkg/peers/gossip.go
@@ -12,7 +12,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/quarantine"
 )
 
-// packet is one datagram: a membership message with piggybacked quarantine notes. Instances of
+// packet is one datagram: a membership message with piggybacked quarantine reports. Instances of
 // another version ignore the fields that they do not know.
 type packet struct {
 	membership.Message
@@ -21,8 +21,8 @@
 }
 
 const (
-	// maxPiggybackedReports is the maximum number of notes on a regular membership message, and
-	// maxNotesPerMessage on one that is sent for the notes. A datagram stays below 1,400 bytes.
+	// maxPiggybackedReports is the maximum number of reports on a regular membership message, and
+	// maxReportsPerMessage on one that is sent for the reports. A datagram stays below 1,400 bytes.
 	maxPiggybackedReports = 4
 	maxReportsPerMessage  = 12
 )
@@ -77,7 +77,7 @@
 	}
 }
 
-// applyQuarantineReports merges the notes of another instance into the quarantine table.
+// applyQuarantineReports merges the reports of another instance into the quarantine table.
 func (p *Peers) applyQuarantineReports(reports []quarantine.Report, from string) {
 	if p.quarantine == nil {
 		return
@@ -94,7 +94,7 @@
 }
 
 // broadcastQuarantine sends the quarantine changes since the last call to all members. A caller may
-// retry at any instance at once, and each instance without the note would let the request crash
+// retry at any instance at once, and each instance without the report would let the request crash
 // more leafs.
 func (p *Peers) broadcastQuarantine(now time.Time) {
 	if p.quarantine == nil {
@@ -112,7 +112,8 @@
 	}
 }
 
-// sendAll sends membership messages with piggybacked notes. The protocol tolerates lost datagrams.
+// sendAll sends membership messages with piggybacked reports. The protocol tolerates lost
+// datagrams.
 func (p *Peers) sendAll(out []membership.Envelope) {
 	for _, e := range out {
 		m := packet{Message: e.Message}
--- a/pkg/peers/handoff.go
+++ b/pkg/peers/handoff.go
@@ -1,6 +1,6 @@
 package peers
 
-// Handover protocol: a query that one instance hands off to another must be run by at most one of
+// Handoff protocol: a query that one instance hands off to another must be run by at most one of
 // them, since each run may call as many leafs of a shard as the route allows.
 //
 // The instance that owns the query offers it, the peer accepts it, and the owner grants it. After
--- a/pkg/peers/handoff_test.go
+++ b/pkg/peers/handoff_test.go
@@ -96,13 +96,13 @@
 	require.Zero(t, ran.Load(), "the peer must not run it as well")
 }
 
-// simMessage is a message between the two sides of a simulated handover, or a timer of one of them.
+// simMessage is a message between the two sides of a simulated handoff, or a timer of one of them.
 type simMessage struct {
 	kind frameKind
 	at   int
 }
 
-// handoffSim is a simulated handover. Messages take up to 100 steps, and are lost, duplicated and
+// handoffSim is a simulated handoff. Messages take up to 100 steps, and are lost, duplicated and
 // reordered. Either side may be paused, and the connection may be closed.
 type handoffSim struct {
 	rng      *rand.Rand
--- a/pkg/peers/publisher.go
+++ b/pkg/peers/publisher.go
@@ -26,12 +26,12 @@
 	// own answer; zero before the first time.
 	ConfirmedAt() time.Time
 	// MarkCurrent records that all changes up to a time are known, according to a peer.
-	// MarkConfirmed records the same where the store told the peer itself.
+	// MarkConfirmed records the same for a time at which the store answered the peer itself.
 	MarkCurrent(at time.Time)
 	MarkConfirmed(at time.Time)
 	// AnsweredAt is when the store last answered this instance itself.
 	AnsweredAt() time.Time
-	// ApplyUpdate applies the changes that a peer has sent.
+	// ApplyUpdate applies an update that a peer has sent.
 	ApplyUpdate(u feed.Update) error
 	// ResetIfContradicted compares the known position with the position of the store when it
 	// answered a peer at a time. It discards the known state if the two cannot both be right,
@@ -88,8 +88,8 @@
 // feedStatusTimeout is the maximum age of a usable status.
 const feedStatusTimeout = time.Second
 
-// maxUpdateBytes is the maximum size of a decompressed page: 20 configurations of the largest size
-// that the store accepts.
+// maxUpdateBytes is the maximum size of a decompressed update: 20 configurations of the largest
+// size that the store accepts.
 const maxUpdateBytes = 20 << 20
 
 // publisher is the part of a Server that sends changes of the store to subscribers.
@@ -99,8 +99,8 @@
 
 	mu      sync.Mutex
 	wakeups map[*serverConn]chan struct{}
-	// cachedUpdate is the last encoded page, from cachedFrom to cachedTo: many subscribers have the
-	// same position.
+	// cachedUpdate is the last encoded update, from cachedFrom to cachedTo: many subscribers have
+	// the same position.
 	cachedUpdate         []byte
 	cachedFrom, cachedTo feed.Position
 	cachedFull           bool
@@ -197,7 +197,7 @@
 	return sent, c.write(kindFeedStatus, status)
 }
 
-// encodeUpdate encodes and compresses a page. Entries resemble each other and compress well.
+// encodeUpdate encodes and compresses an update. Entries resemble each other and compress well.
 func (f *publisher) encodeUpdate(p feed.Update) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,7 +225,7 @@
 	return out.Bytes(), nil
 }
 
-// decodeUpdate is the inverse of encodePage.
+// decodeUpdate is the inverse of encodeUpdate.
 func decodeUpdate(raw []byte) (feed.Update, error) {
 	var p feed.Update
 	r := flate.NewReader(bytes.NewReader(raw))
--- a/pkg/peers/subscriber.go
+++ b/pkg/peers/subscriber.go
@@ -224,7 +224,7 @@
 	}
 }
 
-// handleUpdate applies the changes that a publisher has sent. Invalid pages are dropped.
+// handleUpdate applies an update that a publisher has sent. Invalid updates are dropped.
 func (p *Peers) handleUpdate(c *clientConn, raw []byte) error {
 	encoded, err := decode[[]byte](raw)
 	if err != nil {
--- a/pkg/peers/subscriber_test.go
+++ b/pkg/peers/subscriber_test.go
@@ -179,8 +179,9 @@
 }
 
 // Guards against one faulty instance taking down others: it claims an impossible revision, or sends
-// a page that cannot be decompressed or has inconsistent positions. Such pages are dropped, valid
-// pages of the same peer are still applied, and a frame that is too large closes the connection.
+// an update that cannot be decompressed or has inconsistent positions. Such updates are dropped,
+// valid updates of the same peer are still applied, and a frame that is too large closes the
+// connection.
 func TestInvalidUpdatesAreDropped(t *testing.T) {
 	b := newFeedFixture(t)
 	packed := func(p feed.Update) []byte {
--- a/pkg/replica/membership.go
+++ b/pkg/replica/membership.go
@@ -146,13 +146,13 @@
 	return true
 }
 
-// StoreRecovered records that the store has become reachable again after an outage.
+// StoreRecovered records that the store has recovered from an outage or was restored.
 //
 // During an outage of the store, leafs cannot renew their entries. Healthy leafs therefore
-// vanish from the list and reappear within about 2 s of the store's return. Removing them at
+// vanish from the list and reappear within about 2 s of the store's recovery. Removing them at
 // once would leave services without leafs, so that all shards would be missing right after the
-// outage. For LapseGrace after the store's return, vanished leafs are therefore only marked as
-// lapsed and stay in use.
+// outage. For LapseGrace after the recovery, vanished leafs are therefore only marked as lapsed
+// and stay in use.
 func (t *Table) StoreRecovered(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/replica/placement.go
+++ b/pkg/replica/placement.go
@@ -46,7 +46,7 @@
 	AllBusy
 )
 
-// String returns the name of the verdict in logs.
+// String returns the name of the result in logs.
 func (v PlaceResult) String() string {
 	return [...]string{"placed", "no_leaf", "all_down", "all_busy"}[v]
 }
@@ -110,7 +110,7 @@
 	return best, result
 }
 
-// moreSpecificResult returns the verdict that says more about why there is no leaf.
+// moreSpecificResult returns the result that says more about why there is no leaf.
 func moreSpecificResult(current, found PlaceResult) PlaceResult {
 	if current == NoLeaf || (current == AllDown && found == AllBusy) {
 		return found
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -46,7 +46,7 @@
 	// Regions maps availability zones to their regions.
 	Regions map[string]string
 	// LapseGrace is how long leafs that vanished from the list stay in use after the store has
-	// returned from an outage.
+	// recovered from an outage.
 	LapseGrace time.Duration
 	// ConnsPerLeaf is the maximum number of connections to one leaf.
 	ConnsPerLeaf int
--- a/pkg/replica/waiting.go
+++ b/pkg/replica/waiting.go
@@ -21,7 +21,7 @@
 // waitHistory records the outcomes of the waits for capacity of one class.
 type waitHistory struct {
 	// abandonedAt is the time of the last abandoned wait, and admittedAt that of the last wait
-	// that ended with the request being sent. trialAt is when a request was last allowed to wait
+	// that ended with the request being sent. probeAt is when a request was last allowed to wait
 	// although the wait before it had been abandoned. capacitySignAt is when a new request would
 	// last have been admitted.
 	abandonedAt, admittedAt, probeAt, capacitySignAt time.Time
--- a/pkg/service/client.go
+++ b/pkg/service/client.go
@@ -49,7 +49,8 @@
 // Do sends a request with the given headers, and with body encoded as JSON
 // unless it is nil, and decodes the JSON reply into out. A reply that decodes
 // is returned with its status even if that is not 200, so that callers can read
-// result codes. Otherwise the error is a *StatusError.
+// result codes. The error is a *StatusError if the body does not decode, or if
+// out is nil and the status is not 200.
 func (c *Client) Do(ctx context.Context, method, url string, headers map[string]string, body, out any, deadline time.Time) (int, error) {
 	req := protocol.AcquireRequest()
 	resp := protocol.AcquireResponse()
--- a/pkg/settings/node.go
+++ b/pkg/settings/node.go
@@ -86,7 +86,8 @@
 	Partial bool `yaml:"partial"`
 	// MarginMs is subtracted from target latencies and deadlines, to merge and write the answer.
 	MarginMs int `yaml:"margin_ms"`
-	// RequestDeadlineFactor times the target latency is the deadline of a first request to a leaf.
+	// RequestDeadlineFactor times the target latency is the deadline of the requests to leafs that
+	// are sent before the target latency has passed.
 	RequestDeadlineFactor float64 `yaml:"useful_target"`
 	// MinAdmitProbability is the minimum probability (0 to 1) of covering enough shards by the
 	// target latency with which a query is admitted.
@@ -113,8 +114,8 @@
 	OtherZoneFactor float64 `yaml:"other_zone_factor"`
 	DialTimeoutMs   int     `yaml:"dial_timeout_ms"`
 	IdleTimeoutMs   int     `yaml:"idle_ms"`
-	// LapseGraceMs is how long after an outage of the store a leaf whose entry has expired stays
-	// in use. The leaf writes its entry again in that time.
+	// LapseGraceMs is how long after an outage or a restore of the store a leaf whose entry has
+	// expired or was lost stays in use. The leaf writes its entry again in that time.
 	LapseGraceMs  int `yaml:"lapse_grace_ms"`
 	MaxReplyBytes int `yaml:"max_reply_bytes"`
 }
--- a/pkg/topology/topology.go
+++ b/pkg/topology/topology.go
@@ -63,7 +63,7 @@
 	MayHold bool     `json:"holds" yaml:"holds"`
 }
 
-// BackendServer is one backend server (a unit) in an availability zone. MaxConns is the
+// BackendServer is one backend server in an availability zone. MaxConns is the
 // maximum number of connections that it accepts from all callers together; 0: not
 // published.
 type BackendServer struct {
