--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -86,7 +86,7 @@
 // Unreadable returns the number of entries that could not be decoded.
 func (f *Follower) Unreadable() int64 { return f.unreadable.Load() }
 
-// Restores returns how many times the store has come back in another era.
+// Restores returns how many times the store was restored, that is, came back in a later era.
 func (f *Follower) Restores() int64 { return f.restores.Load() }
 
 // Age returns the staleness of the data, that is the time since it was last known to be up to
--- a/pkg/discovery/peerfeed.go
+++ b/pkg/discovery/peerfeed.go
@@ -224,7 +224,7 @@
 	return true
 }
 
-// reset discards what is known of the store. What the sink was told stays in use.
+// reset discards what is known of the store. What the sink has received stays in use.
 func (f *Follower) reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/errcode/errcode.go
+++ b/pkg/errcode/errcode.go
@@ -3,9 +3,9 @@
 //
 // A code is printed as "IY" followed by four digits. The first digit is the family: 0 success,
 // 1 the caller's request was refused before anything ran, 2 the entry instance refused the
-// request before anything ran, 3 a shard was not covered, 4 the outcome of a not-repeatable
-// request is unknown or its answer was replayed, 5 configuration and settings. The table in
-// docs/ERRORS.md is the published list; a test checks it against this file.
+// request before anything ran, 3 a shard was not covered, 4 the request ran or may have
+// run, and failed, has an unknown outcome or was answered from a record, 5 configuration and
+// settings. The table in docs/ERRORS.md is the published list; a test checks it against this file.
 package errcode
 
 import (
--- a/pkg/feed/cache.go
+++ b/pkg/feed/cache.go
@@ -116,7 +116,7 @@
 	return true
 }
 
-// NoteRestore records that the store has come back in another era.
+// NoteRestore records that the store was restored, that is, came back in a later era.
 func (c *Cache) NoteRestore(at time.Time) { c.recoveredAt = at }
 
 // CheckApplicable checks that an update follows what is known.
--- a/pkg/feed/planner_test.go
+++ b/pkg/feed/planner_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// Guards against overloading a store that comes back from an outage, because all instances of the
-// fleet read it at once. The store is away for 9 s: its readers get no fresh data, nor do those
-// that take their place.
+// Guards against overloading a store that recovers from an outage, because all instances of the
+// fleet read it at once. The store is unavailable for 9 s: its readers get no fresh data, nor do
+// those that take their place.
 func TestFewInstancesReadDuringAnOutage(t *testing.T) {
 	z := newSimZone(40)
 	z.run(5 * time.Second)
--- a/pkg/gateway/gatherlog.go
+++ b/pkg/gateway/gatherlog.go
@@ -9,8 +9,8 @@
 )
 
 // logQueriedLeafs logs the leafs that were called for the query, for the cases that no other
-// log line covers: the caller disconnected, or the query was handed to another instance that
-// may be running it.
+// log line covers: the caller disconnected, or the query was handed off to another instance
+// that may be running it.
 func (r *gatherRun) logQueriedLeafs() {
 	asked := make(map[string][]string)
 	for i, service := range r.route.Shards {
--- a/pkg/gateway/stats.go
+++ b/pkg/gateway/stats.go
@@ -18,7 +18,7 @@
 	set *metrics.Set
 }
 
-// NewStats registers the gateway's metrics in set.
+// NewStats returns the gateway's metrics, each of which is registered in set by its first use.
 func NewStats(set *metrics.Set) *Stats { return &Stats{set: set} }
 
 // registerQuarantine registers the gauges of the quarantine table.
--- a/pkg/peers/roles.go
+++ b/pkg/peers/roles.go
@@ -26,8 +26,8 @@
 	// remoteReaders are members of other zones that read the store, one for each of the next
 	// maxRemoteZones zones.
 	remoteReaders []membership.Member
-	// readerRank is the relative position of this instance among all members that read the
-	// store, greater than 0 and at most 1. It spreads their reads over time.
+	// readerRank is the rank of this instance among all members that read the store, divided by
+	// their number: greater than 0 and at most 1. It spreads their reads over time.
 	readerRank float64
 	// gathererCount is the number of gatherers of this zone, and localPeers the number of other
 	// usable members of this zone.
@@ -148,7 +148,7 @@
 	return out
 }
 
-// readerRank returns the relative position of an instance by name among all readers.
+// readerRank returns the rank of an instance by name among all readers, divided by their number.
 func readerRank(self membership.Member, readers map[string][]membership.Member) float64 {
 	before, all := 0, 0
 	for _, in := range readers {
--- a/pkg/replica/regions.go
+++ b/pkg/replica/regions.go
@@ -10,8 +10,8 @@
 	t.allowedRegions = regions
 }
 
-// OwnZoneAllowed reports whether requests of a class may be handed to other instances in this
-// instance's zone.
+// OwnZoneAllowed reports whether requests of a class may be handed off to other instances in
+// this instance's zone.
 func (t *Table) OwnZoneAllowed(className string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -57,7 +57,8 @@
 	Reason string       `json:"reason"`
 }
 
-// Answer is the answer to a caller's request. Code is IY0000 if the request ran.
+// Answer is the answer to a caller's request. Code is IY0000 for a search that was
+// admitted, even if shards are missing, and for a hold that ran for this request.
 // In the answer to a search, Covered and Missing together list every shard of the
 // index, and Partial is set if Missing is not empty; the caller's policy decides
 // whether to use a partial answer. Held is the result of a hold. RetryAfterMs is the
