--- a/pkg/discovery/peerfeed.go
+++ b/pkg/discovery/peerfeed.go
@@ -13,13 +13,13 @@
 // This file holds the part of the follower that deals with other instances: it applies what they
 // have read, provides what this one knows, and stops reading the store when others do.
 
-// OnChange sets a function that is called when there is something new for listeners. It must be
-// called before Run.
+// OnChange sets a function that is called when there are changes to send to subscribers. It must
+// be called before Run.
 func (f *Follower) OnChange(onChange func()) { f.onChange = onChange }
 
-// OnProof sets a function that receives, each time the data is proven to be up to date, the time
-// since the previous proof. It must be called before Run.
-func (f *Follower) OnProof(onProof func(time.Duration)) { f.onProof = onProof }
+// OnCurrent sets a function that receives, each time the data is found to be up to date as of a
+// later time, the difference to the previous such time. It must be called before Run.
+func (f *Follower) OnCurrent(onCurrent func(time.Duration)) { f.onCurrent = onCurrent }
 
 // ChangesSince returns what changed after a position.
 func (f *Follower) ChangesSince(after feed.Position) feed.Update {
@@ -28,8 +28,8 @@
 	return f.cache.Since(after, time.Now())
 }
 
-// HasSnapshot reports whether this instance has everything that is published, from any source.
-func (f *Follower) HasSnapshot() bool {
+// Synced reports whether this instance has everything that is published, from any source.
+func (f *Follower) Synced() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cache.Synced()
@@ -41,14 +41,15 @@
 // MarkCurrent records that this instance knows everything that the store had published at a time,
 // according to a peer.
 func (f *Follower) MarkCurrent(at time.Time) {
-	if was, advanced := advanceTime(&f.provenAt, at); advanced && was != nil {
-		f.onProof(at.Sub(*was))
+	if was, advanced := advanceTime(&f.currentAsOf, at); advanced && was != nil {
+		f.onCurrent(at.Sub(*was))
 	}
 }
 
-// MarkConfirmed is Proven for a peer that got the answer from the store itself. Only these times are
-// passed on to other instances: each hop makes an answer seem younger by the time in transit, so
-// instances that passed on what they were told would never see the data become stale.
+// MarkConfirmed is like MarkCurrent, for a time at which the store answered this instance or the
+// peer itself. Only these times are passed on to other instances: each hop makes an answer seem
+// younger by the time in transit, so instances that passed on the times that they received would
+// never see the data become stale.
 func (f *Follower) MarkConfirmed(at time.Time) {
 	advanceTime(&f.confirmedAt, at)
 	f.MarkCurrent(at)
@@ -67,8 +68,8 @@
 	}
 }
 
-// ConfirmedAt returns when the store last answered this instance or one that it listens to; zero
-// if it never has.
+// ConfirmedAt returns when the store last answered this instance or one to which it subscribes;
+// zero if it never has.
 func (f *Follower) ConfirmedAt() time.Time { return loadTime(&f.confirmedAt) }
 
 // noteAnswer records an answer of the store after its content has been applied, so that the data
@@ -117,14 +118,14 @@
 	}
 	// The previous readers could not read the store or are gone, and this instance takes over. If
 	// that was an outage, leafs that vanished during it may merely have expired.
-	f.lastSuccess = loadTime(&f.provenAt)
+	f.lastSuccess = loadTime(&f.currentAsOf)
 	if !f.lastSuccess.IsZero() && time.Since(f.lastSuccess) >= f.opts.OutageThreshold {
 		f.failingSince = f.lastSuccess
 	}
 }
 
-// ApplyPage applies an update that a peer has sent.
-func (f *Follower) ApplyPage(u feed.Update) error {
+// ApplyUpdate applies an update that a peer has sent.
+func (f *Follower) ApplyUpdate(u feed.Update) error {
 	if err := u.Validate(); err != nil {
 		return err
 	}
@@ -188,7 +189,7 @@
 func (f *Follower) Sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	expired := f.cache.ExpireHeld(now, f.opts.LostEntryGrace, f.newestConfig.Item.Key)
+	expired := f.cache.ExpireLost(now, f.opts.LostEntryGrace, f.newestConfig.Item.Key)
 	if len(expired) == 0 {
 		return
 	}
@@ -223,7 +224,7 @@
 	return true
 }
 
-// reset discards what is known of the store. What the sink was told stays in use.
+// reset discards what is known of the store. What the sink has received stays in use.
 func (f *Follower) reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/feed/cache.go
+++ b/pkg/feed/cache.go
@@ -1,8 +1,8 @@
 // Package feed distributes what the platform's store publishes among the instances of an
 // availability zone, so that only a few of them read the store. A Cache holds the latest entry of
-// each key and returns the changes since a position. A Planner decides which peers an instance
-// listens to and whether it reads the store itself. The package does no I/O and takes the time as
-// an argument.
+// each key and returns the changes since a position. A Planner decides to which peers an
+// instance subscribes and whether it reads the store itself. The package does no I/O and takes the
+// time as an argument.
 package feed
 
 import (
@@ -85,16 +85,16 @@
 type Cache struct {
 	items    map[string]Item
 	position Position
-	// deltaFloor is the position up to which deletions may have been forgotten. Listeners that
-	// are behind it get a snapshot.
+	// deltaFloor is the position up to which deletions may have been forgotten. Subscribers
+	// that are behind it get a snapshot.
 	deltaFloor Position
 	tombstones int
 	// synced means that the cache holds all entries as of some position.
 	synced      bool
 	recoveredAt time.Time
-	// hasHeld means that there may be entries of an era that has ended. The restored store has
-	// lost them, and they are held for a while so that their writers can write them again.
-	hasHeld bool
+	// hasLost means that there may be lost entries: those of an era that has ended, which the
+	// restored store lacks. They are kept for a while so that their writers can write them again.
+	hasLost bool
 }
 
 // NewCache returns an empty cache.
@@ -116,7 +116,7 @@
 	return true
 }
 
-// NoteRestore records that the store has come back in another era.
+// NoteRestore records that the store was restored, that is, came back in a later era.
 func (c *Cache) NoteRestore(at time.Time) { c.recoveredAt = at }
 
 // CheckApplicable checks that an update follows what is known.
@@ -146,7 +146,7 @@
 		changed = append(changed, c.deleteMissing(u)...)
 	}
 	if u.Full && (!c.synced || u.To.After(c.position)) {
-		// The cache does not know the deletions before this position. Listeners that are behind
+		// The cache does not know the deletions before this position. Subscribers that are behind
 		// it need a snapshot, or they would go on using leafs that were removed in between.
 		c.synced, c.deltaFloor = true, u.To
 	}
@@ -179,19 +179,19 @@
 	return true
 }
 
-// deleteMissing deletes the entries that a snapshot lacks. It keeps those of an earlier era: the
-// store has lost them, and they are held.
+// deleteMissing deletes the entries that a snapshot lacks. It keeps those of an earlier era,
+// which the store has lost.
 func (c *Cache) deleteMissing(u Update) []Item {
 	listed := make(map[string]bool, len(u.Items))
 	for _, it := range u.Items {
-		listed[it.Key] = it.At.Era == u.To.Era // Entries that the sender merely holds are lost.
+		listed[it.Key] = it.At.Era == u.To.Era // Entries of an earlier era are lost.
 	}
 	var out []Item
 	for key, it := range c.items {
 		switch {
 		case it.Deleted:
 		case it.At.Era < u.To.Era:
-			c.hasHeld = true
+			c.hasLost = true
 		case !listed[key] && !it.At.After(u.To):
 			out = append(out, c.delete(key, u.To))
 		}
@@ -207,13 +207,13 @@
 	return deletion
 }
 
-// ExpireHeld deletes the entries that are still held when the grace period for writing them again
+// ExpireLost deletes the entries that are still lost when the grace period for writing them again
 // is over, and returns their tombstones. The entry under keptKey stays until it is replaced.
-func (c *Cache) ExpireHeld(now time.Time, grace time.Duration, keptKey string) []Item {
-	if !c.hasHeld || now.Sub(c.recoveredAt) < grace {
+func (c *Cache) ExpireLost(now time.Time, grace time.Duration, keptKey string) []Item {
+	if !c.hasLost || now.Sub(c.recoveredAt) < grace {
 		return nil
 	}
-	c.hasHeld = false
+	c.hasLost = false
 	var out []Item
 	for key, it := range c.items {
 		if !it.Deleted && it.At.Era < c.position.Era && key != keptKey {
@@ -249,7 +249,7 @@
 // Since returns what changed after a position, or a snapshot if the changes are not known.
 func (c *Cache) Since(after Position, now time.Time) Update {
 	u := Update{From: after, To: c.position}
-	if !c.recoveredAt.IsZero() && (c.hasHeld || now.Sub(c.recoveredAt) < recoveryNoticePeriod) {
+	if !c.recoveredAt.IsZero() && (c.hasLost || now.Sub(c.recoveredAt) < recoveryNoticePeriod) {
 		u.RecoveredMsAgo = uint32(max(now.Sub(c.recoveredAt).Milliseconds(), 1))
 	}
 	if after.Revision <= 0 || after.Before(c.deltaFloor) {
--- a/pkg/feed/cache_test.go
+++ b/pkg/feed/cache_test.go
@@ -36,18 +36,18 @@
 func snapshot(to int64, items ...Item) Update { return Update{Full: true, To: at(to), Items: items} }
 
 func TestCacheReturnsChangesSincePosition(t *testing.T) {
-	reader, listener := NewCache(), NewCache()
+	reader, subscriber := NewCache(), NewCache()
 	require.False(t, reader.Synced())
 	require.Len(t, reader.Apply(snapshot(10, entry("x", 3), entry("y", 10))), 2)
 	require.True(t, reader.Synced())
-	require.Len(t, listener.Apply(reader.Since(at(0), testStart)), 2)
+	require.Len(t, subscriber.Apply(reader.Since(at(0), testStart)), 2)
 	reader.Apply(Update{From: at(10), To: at(14), Items: []Item{entry("z", 12), tombstone("x", 13), entry("y", 14)}})
-	delta := reader.Since(listener.Position(), testStart)
+	delta := reader.Since(subscriber.Position(), testStart)
 	require.False(t, delta.Full)
 	require.Len(t, delta.Items, 3)
-	require.Len(t, listener.Apply(delta), 3)
-	require.Equal(t, liveRevisions(reader), liveRevisions(listener))
-	require.Equal(t, map[string]int64{"y": 14, "z": 12}, liveRevisions(listener))
+	require.Len(t, subscriber.Apply(delta), 3)
+	require.Equal(t, liveRevisions(reader), liveRevisions(subscriber))
+	require.Equal(t, map[string]int64{"y": 14, "z": 12}, liveRevisions(subscriber))
 	require.Empty(t, reader.Since(at(14), testStart).Items)
 }
 
@@ -78,7 +78,7 @@
 	require.Equal(t, map[string]int64{"a": 3, "d": 12}, liveRevisions(c))
 }
 
-// Deletions are not remembered forever: listeners that are behind the last dropped one get a
+// Deletions are not remembered forever: subscribers that are behind the last dropped one get a
 // snapshot.
 func TestDroppedTombstonesForceASnapshot(t *testing.T) {
 	c := NewCache()
@@ -109,36 +109,36 @@
 	require.NoError(t, valid.Validate())
 }
 
-// Guards against listeners that go on using removed leafs. The store drops its history, a leaf is
+// Guards against subscribers that go on using removed leafs. The store drops its history, a leaf is
 // removed in the gap, and the reader lists the store again into a new cache that does not know
-// the deletion. Listeners behind that listing were sent only what is newer.
-func TestNewCacheSendsSnapshotToListenersBehindItsListing(t *testing.T) {
-	listener := NewCache()
-	listener.Apply(snapshot(10, entry("stays", 3), entry("left", 4)))
+// the deletion. Subscribers behind that listing were sent only what is newer.
+func TestNewCacheSendsSnapshotToSubscribersBehindItsListing(t *testing.T) {
+	subscriber := NewCache()
+	subscriber.Apply(snapshot(10, entry("stays", 3), entry("left", 4)))
 	relisted := NewCache()
 	relisted.Apply(snapshot(20, entry("stays", 3), entry("new", 15)))
-	update := relisted.Since(listener.Position(), testStart)
+	update := relisted.Since(subscriber.Position(), testStart)
 	require.True(t, update.Full)
-	listener.Apply(update)
-	require.Equal(t, map[string]int64{"stays": 3, "new": 15}, liveRevisions(listener))
+	subscriber.Apply(update)
+	require.Equal(t, map[string]int64{"stays": 3, "new": 15}, liveRevisions(subscriber))
 	require.False(t, relisted.Since(at(20), testStart).Full)
 }
 
 // An entry written while the store is listed is in the cache before the cache's position reaches
 // it. It is sent with the snapshot and, without harm, again with the next delta.
 func TestEntriesWrittenDuringTheListing(t *testing.T) {
-	reader, listener := NewCache(), NewCache()
+	reader, subscriber := NewCache(), NewCache()
 	reader.Apply(snapshot(10, entry("a", 3), entry("late", 12)))
 	update := reader.Since(at(0), testStart)
 	require.NoError(t, update.Validate())
-	listener.Apply(update)
-	require.Equal(t, at(10), listener.Position())
+	subscriber.Apply(update)
+	require.Equal(t, at(10), subscriber.Position())
 	reader.Apply(Update{From: at(10), To: at(13), Items: []Item{entry("between", 11), entry("late", 12)}})
-	listener.Apply(reader.Since(listener.Position(), testStart))
-	require.Equal(t, map[string]int64{"a": 3, "between": 11, "late": 12}, liveRevisions(listener))
+	subscriber.Apply(reader.Since(subscriber.Position(), testStart))
+	require.Equal(t, map[string]int64{"a": 3, "between": 11, "late": 12}, liveRevisions(subscriber))
 }
 
-// A recovery of the store is new only once, and is sent to listeners for as long as it matters.
+// A recovery of the store is new only once, and is sent to subscribers for as long as it matters.
 func TestStoreRecoveryIsReported(t *testing.T) {
 	c := NewCache()
 	require.True(t, c.NoteRecovery(testStart))
@@ -206,32 +206,32 @@
 	require.ErrorIs(t, across.Validate(), ErrInvalidPosition, "delta across eras")
 	early := Update{Full: true, To: at(20), Items: withEra(1, entry("x", 3))}
 	require.ErrorIs(t, early.Validate(), ErrInvalidPosition, "entry of a later era")
-	held := Update{Full: true, To: atEra(1, 2), Items: []Item{entry("x", 90)}}
-	require.NoError(t, held.Validate(), "entry of an earlier era")
+	lost := Update{Full: true, To: atEra(1, 2), Items: []Item{entry("x", 90)}}
+	require.NoError(t, lost.Validate(), "entry of an earlier era")
 }
 
 // Guards against entries that a restored store has lost being dropped at once, or never.
-func TestLostEntriesAreHeldForTheGracePeriod(t *testing.T) {
+func TestLostEntriesAreKeptForTheGracePeriod(t *testing.T) {
 	const grace = 2 * time.Second
 	c := restoredCache(testStart)
 	require.Equal(t, map[string]int64{"config": 10, "leaf": 19, "order": 20}, liveRevisions(c))
 	update := c.Since(Position{}, testStart.Add(time.Second))
 	require.EqualValues(t, 1000, update.RecoveredMsAgo, "listeners hold lost entries no longer than this cache")
-	require.Empty(t, c.ExpireHeld(testStart.Add(grace-1), grace, ""))
+	require.Empty(t, c.ExpireLost(testStart.Add(grace-1), grace, ""))
 	c.Apply(Update{From: atEra(1, 12), To: atEra(1, 15), Items: withEra(1, entry("leaf", 15))})
-	lapsed := c.ExpireHeld(testStart.Add(grace), grace, "")
+	lapsed := c.ExpireLost(testStart.Add(grace), grace, "")
 	require.Equal(t, []Item{{Key: "order", At: atEra(1, 15), Deleted: true}}, lapsed)
-	require.Empty(t, c.ExpireHeld(testStart.Add(grace), grace, ""))
+	require.Empty(t, c.ExpireLost(testStart.Add(grace), grace, ""))
 	require.Equal(t, map[string]int64{"config": 10, "leaf": 15}, liveRevisions(c))
 
 	c = restoredCache(testStart)
-	require.Len(t, c.ExpireHeld(testStart.Add(grace), grace, "leaf"), 1, "the entry under keptKey stays until it is replaced")
+	require.Len(t, c.ExpireLost(testStart.Add(grace), grace, "leaf"), 1, "the entry under keptKey stays until it is replaced")
 }
 
 // Guards against leafs that stay in use forever after they left. One instance has a leaf from the
 // restored store. Its peer missed that the leaf was added and removed there, and sends the entry
-// that it still holds from the era before.
-func TestHeldEntryDoesNotCountAsListed(t *testing.T) {
+// that it still keeps from the era before.
+func TestLostEntryDoesNotCountAsListed(t *testing.T) {
 	c, peer := restoredCache(testStart), restoredCache(testStart)
 	c.Apply(Update{From: atEra(1, 12), To: atEra(1, 14), Items: withEra(1, entry("leaf", 14))})
 	peer.Apply(Update{Full: true, To: atEra(1, 17), Items: withEra(1, entry("config", 10))})
@@ -249,9 +249,9 @@
 	require.Len(t, c.Apply(snapshot(25, entry("config", 10), entry("missed", 12))), 1, "a newer snapshot holds only live entries")
 }
 
-// Guards against listeners that go on using leafs removed while the history was lost, when the
+// Guards against subscribers that go on using leafs removed while the history was lost, when the
 // reader that lists the store again keeps its cache.
-func TestSnapshotIsSentToListenersBehindARelisting(t *testing.T) {
+func TestSnapshotIsSentToSubscribersBehindARelisting(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshot(10, entry("stays", 3)))
 	c.Apply(snapshot(20, entry("stays", 3)))
--- a/pkg/gateway/stats.go
+++ b/pkg/gateway/stats.go
@@ -18,7 +18,7 @@
 	set *metrics.Set
 }
 
-// NewStats registers the gateway's metrics in set.
+// NewStats returns the gateway's metrics, each of which is registered in set by its first use.
 func NewStats(set *metrics.Set) *Stats { return &Stats{set: set} }
 
 // registerQuarantine registers the gauges of the quarantine table.
@@ -27,7 +27,7 @@
 	gauge("gateway_requests_suspect", func() float64 { return float64(table.Count(quarantine.Suspect, time.Now())) })
 	gauge("gateway_requests_quarantined", func() float64 { return float64(table.Count(quarantine.Quarantined, time.Now())) })
 	counts := table.Counts()
-	gauge("gateway_leafs_ended", func() float64 { return float64(counts.LeafsEnded.Load()) })
+	gauge("gateway_leafs_ended", func() float64 { return float64(counts.LeafsCrashed.Load()) })
 	gauge("gateway_request_trials", func() float64 { return float64(counts.Trials.Load()) })
 	gauge("gateway_requests_cleared", func() float64 { return float64(counts.Cleared.Load()) })
 }
--- a/pkg/leafconn/roundtrip.go
+++ b/pkg/leafconn/roundtrip.go
@@ -35,7 +35,7 @@
 	// Cancelled means that the request was cancelled through its context.
 	Cancelled
 	// LeafCrashed means that the request was sent, the connection ended, and nothing listens at
-	// the leaf's address any more: the leaf's process ended while it had the request.
+	// the leaf's address any more: the leaf crashed while it had the request.
 	LeafCrashed
 )
 
@@ -147,11 +147,11 @@
 			}
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxBody+1))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxReplyBytes+1))
 		if err != nil {
 			return nil, false, err
 		}
-		if int64(len(body)) > p.opts.MaxBody {
+		if int64(len(body)) > p.opts.MaxReplyBytes {
 			return nil, false, errBodyTooLarge
 		}
 		c.keepAlive, err = parseKeepAlive(resp.Header.Get("Keep-Alive"))
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -53,8 +53,8 @@
 	}
 	if set.Peers.Gather {
 		n.gateway.UseGatherers(agent)
-		slack := peers.BurstBudget{Total: set.Declared.SecondRequestSlack, Zones: set.Declared.Zones, Window: settings.Duration(set.Declared.SecondRequestWindowMs)}
-		agent.EnableBurstSharing(slack, n.table.SetBurstLimits)
+		burst := peers.BurstBudget{Total: set.Declared.SecondRequestBurst, Zones: set.Declared.Zones, Window: settings.Duration(set.Declared.SecondRequestWindowMs)}
+		agent.EnableBurstSharing(burst, n.table.SetBurstLimits)
 	}
 	if set.Peers.Feed {
 		n.follower.OnChange(server.NotifySubscribers)
@@ -159,7 +159,7 @@
 	return n.peering.agent.QueriesHandedOff.Load()
 }
 
-// connected lists the peers that queries may be handed to.
+// connected returns the names of the connected peers.
 func (p *peering) connected() []string {
 	if p == nil {
 		return nil
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -330,8 +330,8 @@
 	knownAt       map[int64]time.Time
 	newestVersion int64
 	// leafs are the IDs of the leafs in use.
-	leafs     map[string]bool
-	listeners []chan struct{}
+	leafs       map[string]bool
+	subscribers []chan struct{}
 	// runningSince is when the instance started, or resumed after a pause.
 	runningSince time.Time
 }
@@ -402,7 +402,8 @@
 type simFleet struct {
 	store *simStore
 	set   *settings.Node
-	// sources lists the peers that each instance listens to; messageDelay is a message's latency.
+	// sources lists the peers to which each instance subscribes. messageDelay is the latency of
+	// a message.
 	sources      [][]int
 	messageDelay time.Duration
 	instances    []*simInstance
@@ -414,7 +415,7 @@
 }
 
 // newSimFleet starts instances that read the store. sources lists, for each instance, the numbers
-// of those that it listens to. messageDelay is how long a message takes.
+// of those to which it subscribes. messageDelay is how long a message takes.
 func newSimFleet(set *settings.Node, sources [][]int, messageDelay time.Duration) *simFleet {
 	f := &simFleet{store: newSimStore(), set: set, sources: sources, messageDelay: messageDelay, instances: make([]*simInstance, len(sources))}
 	f.ctx, f.stop = context.WithCancel(context.Background())
@@ -429,14 +430,14 @@
 	return f
 }
 
-// start starts an instance, which does not listen to others yet.
+// start starts an instance, which does not subscribe to others yet.
 func (f *simFleet) start(n int) {
 	log := oplog.New(io.Discard, nil, oplog.Options{LinesPerSecond: 1, Burst: 1, Buffer: 1})
 	log.Close(time.Second)
 	i := &simInstance{simStore: f.store, knownAt: map[int64]time.Time{}, leafs: map[string]bool{}, runningSince: time.Now()}
 	i.ctx, i.stop = context.WithCancel(f.ctx)
 	i.follower = discovery.NewFollower(i, i, storeOptions(f.set), log)
-	i.follower.OnChange(i.notifyListeners)
+	i.follower.OnChange(i.notifySubscribers)
 	i.follower.SetReading(true, longpoll.PeerGroup{Reporting: len(f.sources[n]), RelativeRank: float64(n+1) / float64(len(f.sources))})
 	f.instances[n] = i
 	f.running.Go(func() { i.follower.Run(i.ctx) })
@@ -458,14 +459,14 @@
 
 // link makes one instance send updates to another until either ends.
 func (f *simFleet) link(from, to int) {
-	source, listener := f.instances[from], f.instances[to]
+	source, subscriber := f.instances[from], f.instances[to]
 	wake := make(chan struct{}, 1)
 	source.mu.Lock()
-	source.listeners = append(source.listeners, wake)
+	source.subscribers = append(source.subscribers, wake)
 	source.mu.Unlock()
 	ctx, stop := context.WithCancel(source.ctx)
-	context.AfterFunc(listener.ctx, stop)
-	f.running.Go(func() { f.feedListener(ctx, source, listener, wake) })
+	context.AfterFunc(subscriber.ctx, stop)
+	f.running.Go(func() { f.feedSubscriber(ctx, source, subscriber, wake) })
 }
 
 // partition cuts off all instances from each other for a duration.
@@ -488,10 +489,10 @@
 	f.running.Wait()
 }
 
-func (i *simInstance) notifyListeners() {
+func (i *simInstance) notifySubscribers() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, w := range i.listeners {
+	for _, w := range i.subscribers {
 		select {
 		case w <- struct{}{}:
 		default:
@@ -502,7 +503,7 @@
 // simStatusInterval is how often an instance reports its position to another.
 const simStatusInterval = 300 * time.Millisecond
 
-// simTick is how often held entries are checked for expiry.
+// simTick is how often lost entries are checked for expiry.
 const simTick = 50 * time.Millisecond
 
 // runSweeps runs an instance's ticks until it ends.
@@ -520,19 +521,19 @@
 	}
 }
 
-// feedListener sends updates from one instance to another until ctx ends.
-func (f *simFleet) feedListener(ctx context.Context, source, listener *simInstance, wake chan struct{}) {
-	sent := listener.follower.Position()
+// feedSubscriber sends updates from one instance to another until ctx ends.
+func (f *simFleet) feedSubscriber(ctx context.Context, source, subscriber *simInstance, wake chan struct{}) {
+	sent := subscriber.follower.Position()
 	subscription := &feed.Subscription{}
 	ticker := time.NewTicker(simStatusInterval)
 	defer ticker.Stop()
 	for {
 		switch {
-		case f.partitioned(): // The connection is lost; the next one starts at the listener's position.
-			sent = listener.follower.Position()
+		case f.partitioned(): // The connection is lost; the next one starts at the known position.
+			sent = subscriber.follower.Position()
 			subscription.Renew(time.Now())
 		default:
-			sent = f.sendUpdate(source.follower, listener, sent, subscription)
+			sent = f.sendUpdate(source.follower, subscriber, sent, subscription)
 		}
 		source.waitWhilePaused()
 		select {
@@ -544,19 +545,19 @@
 	}
 }
 
-// sendUpdate sends what is new to a listener and returns the position up to which it was sent.
-func (f *simFleet) sendUpdate(from *discovery.Follower, listener *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
+// sendUpdate sends what is new to a subscriber and returns the position up to which it was sent.
+func (f *simFleet) sendUpdate(from *discovery.Follower, subscriber *simInstance, sent feed.Position, subscription *feed.Subscription) feed.Position {
 	confirmed, answered, update := ageOf(from.ConfirmedAt()), ageOf(from.AnsweredAt()), from.ChangesSince(sent)
-	known := from.HasSnapshot()
+	known := from.Synced()
 	sends := known && update.To.After(sent)
 	if sends {
 		sent = update.To
 	}
 	time.Sleep(f.messageDelay)
-	listener.waitWhilePaused()
-	to := listener.follower
+	subscriber.waitWhilePaused()
+	to := subscriber.follower
 	if sends {
-		_ = to.ApplyPage(update) // A rejected update is lost, as on a connection.
+		_ = to.ApplyUpdate(update) // A rejected update is lost, as on a connection.
 	}
 	contradicted := known && to.ResetIfContradicted(update.To, time.Now().Add(-confirmed))
 	switch {
@@ -578,10 +579,10 @@
 	return time.Since(at)
 }
 
-// unconnected returns the sources of instances that do not listen to each other.
+// unconnected returns the sources of instances that do not subscribe to each other.
 func unconnected(n int) [][]int { return make([][]int, n) }
 
-// ring returns the sources of instances that each listen to the next two.
+// ring returns the sources of instances that each subscribe to the next two.
 func ring(n int) [][]int {
 	out := make([][]int, n)
 	for i := range out {
--- a/pkg/peers/batchserver.go
+++ b/pkg/peers/batchserver.go
@@ -53,9 +53,9 @@
 }
 
 // run sends the leaf calls and returns their replies. Successes are collected until the flush time
-// of the batch and then in steps. A failure is returned at once, since another leaf may be asked.
-// At the flush time a frame is sent even without replies, to show the requesting peer that this
-// instance is alive.
+// of the batch, and after it for the flush interval each time. A failure is returned at once, since
+// another leaf may be asked. At the flush time a frame is sent even without replies, to show the
+// requesting peer that this instance is alive.
 func (w *batchRun) run() {
 	defer w.release()
 	w.c.s.BatchesServed.Add(1)
@@ -64,7 +64,7 @@
 	for i := range w.leafs {
 		w.startCall(i)
 	}
-	timer := time.NewTimer(time.Duration(w.frame.FlushUs) * time.Microsecond)
+	timer := time.NewTimer(time.Duration(w.frame.FlushAfterUs) * time.Microsecond)
 	defer timer.Stop()
 	timerArmed, acknowledged := true, false
 	var ready []leafResult
@@ -75,7 +75,7 @@
 			outstanding--
 			if outstanding > 0 && d.reply.Outcome == replica.Answered {
 				if !timerArmed {
-					timer.Reset(time.Duration(w.frame.StepUs) * time.Microsecond)
+					timer.Reset(time.Duration(w.frame.FlushIntervalUs) * time.Microsecond)
 					timerArmed = true
 				}
 				continue
--- a/pkg/peers/clientconn.go
+++ b/pkg/peers/clientconn.go
@@ -21,9 +21,9 @@
 	// connection is closed.
 	onTimeout func(*clientConn)
 	onClosed  func(*clientConn, error)
-	// onFeedStatus and onPage receive frames about the store; nil if no feed is used.
+	// onFeedStatus and onUpdate receive frames about the store; nil if no feed is used.
 	onFeedStatus func(*clientConn, feedStatus)
-	onPage       func(*clientConn, []byte) error
+	onUpdate     func(*clientConn, []byte) error
 	// subscribed reports whether the peer was asked for its feed. Peers.mu guards it.
 	subscribed   bool
 	subscribedAt time.Time
@@ -116,8 +116,8 @@
 func (c *clientConn) encodeBatch(number uint64, b gateway.Batch, now time.Time) batch {
 	f := batch{
 		Number: number, Request: c.texts.encodeRequest(b.Request.ID, c.codec.Request(b.Request.Content)),
-		TimeoutMs: uint32(max(b.Deadline.Sub(now).Milliseconds(), 1)),
-		FlushUs:   uint32(b.FlushAfter.Microseconds()), StepUs: uint32(b.FlushInterval.Microseconds()), TopK: uint32(b.Route.TopK),
+		TimeoutMs:    uint32(max(b.Deadline.Sub(now).Milliseconds(), 1)),
+		FlushAfterUs: uint32(b.FlushAfter.Microseconds()), FlushIntervalUs: uint32(b.FlushInterval.Microseconds()), TopK: uint32(b.Route.TopK),
 	}
 	for _, call := range b.Calls {
 		f.Leafs = append(f.Leafs, c.texts.ref(formatLeaf(call.Leaf)))
@@ -222,11 +222,11 @@
 			c.onFeedStatus(c, n)
 		}
 		return err
-	case kindPage:
-		if c.onPage == nil {
+	case kindUpdate:
+		if c.onUpdate == nil {
 			return nil
 		}
-		return c.onPage(c, raw)
+		return c.onUpdate(c, raw)
 	}
 	return c.handleQueryFrame(k, raw)
 }
