--- a/pkg/cli/node.go
+++ b/pkg/cli/node.go
@@ -24,9 +24,9 @@
 func platformAdapter() node.Adapter {
 	return node.Adapter{
 		ReadyPath:     platform.PathReady,
-		Source:        func(address string, log *oplog.Log) discovery.Source { return platform.NewStore(address, log) },
-		Leafs:         func(pool *leafconn.Pool) gateway.LeafClient { return platform.NewLeafs(pool) },
-		CallerHandler: func(g *gateway.Gateway, log *oplog.Log) http.Handler { return platform.NewDoor(g, log) },
+		Source:        func(address string, log *oplog.Log) discovery.Source { return platform.NewStoreClient(address, log) },
+		Leafs:         func(pool *leafconn.Pool) gateway.LeafClient { return platform.NewLeafClient(pool) },
+		CallerHandler: func(g *gateway.Gateway, log *oplog.Log) http.Handler { return platform.NewCallerHandler(g, log) },
 		PeerCodec:     platform.PeerCodec{},
 	}
 }
