--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -40,7 +40,7 @@
 	// reading is whether this instance reads the store. readingChanged is signalled on a change.
 	reading        atomic.Bool
 	readingChanged chan struct{}
-	// onChange is called when there are changes to send to subscribers.
+	// onChange is called when there are changes or an answer of the store to report to peers.
 	onChange func()
 	// onCurrent receives, each time currentAsOf advances, by how much it does.
 	onCurrent func(time.Duration)
--- a/pkg/discovery/peerfeed.go
+++ b/pkg/discovery/peerfeed.go
@@ -13,8 +13,8 @@
 // This file holds the part of the follower that deals with other instances: it applies what they
 // have read, provides what this one knows, and stops reading the store when others do.
 
-// OnChange sets a function that is called when there are changes to send to subscribers. It must
-// be called before Run.
+// OnChange sets a function that is called when there are changes to send to subscribers, and after
+// each answer of the store. It must be called before Run.
 func (f *Follower) OnChange(onChange func()) { f.onChange = onChange }
 
 // OnCurrent sets a function that receives, each time the data is found to be up to date as of a
--- a/pkg/fanout/admission.go
+++ b/pkg/fanout/admission.go
@@ -54,7 +54,7 @@
 //
 // A query whose caller has already been refused once is not refused immediately for overload.
 // Callers retry only a few times, so another refusal would lose the query. Instead it is held,
-// without sending anything, until the leafs have capacity that no query in time needs, as long as
+// without sending anything, until the leafs have more capacity than new queries need, as long as
 // that is likely to happen.
 func (q *Query) Start(now time.Time) ([]Request, *Refusal) {
 	for _, service := range q.route.Shards {
@@ -70,8 +70,9 @@
 	return requests, refusal
 }
 
-// admit returns the first requests if the probability that the query covers enough shards in time
-// is at least minProbability, and a refusal otherwise.
+// admit returns the first requests, or a refusal if too many shards would be late or if the
+// probability that the query covers enough shards in time is below minProbability. Such a query is
+// nevertheless admitted if it is not held and a probe is due.
 func (q *Query) admit(now time.Time, minProbability float64) ([]Request, *Refusal) {
 	placements, refusal := q.placeAll(now)
 	if refusal.AllowedMisses < 0 {
@@ -177,7 +178,7 @@
 			continue
 		}
 		miss := missProbability(p.placement, left)
-		// A held query must not count on the hedging budget that new queries need.
+		// A held query must not count on the budget of second requests that new queries need.
 		if miss > negligibleMissProbability && !q.held {
 			miss *= q.secondMissProbability(p, left, now)
 		}
--- a/pkg/fanout/fanout.go
+++ b/pkg/fanout/fanout.go
@@ -112,8 +112,8 @@
 	// inFlight is the number of attempts in flight.
 	inFlight int
 	covered  bool
-	// excluded means that no further request is sent for this shard, unless askExcluded takes it
-	// back in.
+	// excluded means that no further request is sent for this shard, unless askExcluded resets
+	// it.
 	excluded bool
 	// placeResult is the result of the last search for a leaf.
 	placeResult replica.PlaceResult
--- a/pkg/fanout/state.go
+++ b/pkg/fanout/state.go
@@ -80,9 +80,10 @@
 	Overloaded
 	// NoLeaf means that no leaf that accepts new requests is listed.
 	NoLeaf
-	// AllDown means that none of the listed leafs accepts connections.
+	// AllDown means that the listed leafs are down or in suspected zones.
 	AllDown
-	// AllBusy means that all connections of this instance to each leaf were in use.
+	// AllBusy means that all connections of this instance to each reachable leaf were in use, or
+	// that the leaf is cold and has received this instance's share.
 	AllBusy
 	// Withheld means that the query is quarantined, or was tried at one leaf only.
 	Withheld
--- a/pkg/fanout/trial_test.go
+++ b/pkg/fanout/trial_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// A trial is also made if the route does not have the suspected shard, or if that shard has no
-// leafs left.
+// If the route does not have the suspected shard, the trial is made at the first shard that has a
+// leaf.
 func TestTrialFallsBackToAnotherShard(t *testing.T) {
 	q := tenShardQuery(Params{Suspect: true, SuspectService: "elsewhere"})
 	requests, _ := q.Start(epoch)
--- a/pkg/feed/planner.go
+++ b/pkg/feed/planner.go
@@ -48,8 +48,8 @@
 	listeningSince map[string]time.Time
 	// readingSince is when this instance began to read the store; zero while it does not.
 	readingSince time.Time
-	// exhaustedSince is since when this instance has subscribed to maxSourcesAhead instances
-	// without enough usable ones among them; zero if it does not.
+	// exhaustedSince is when this instance first had too few usable sources with at least
+	// maxSourcesAhead instances ahead of it; zero while it does not.
 	exhaustedSince time.Time
 }
 
--- a/pkg/gateway/batches.go
+++ b/pkg/gateway/batches.go
@@ -47,7 +47,7 @@
 	// multiple of the typical reply time: half of them have arrived by then. A later flush would
 	// save a few bytes, but this instance would learn later which leafs are free.
 	flushDelayFactor = 1.0
-	// flushIntervalFactor is the same multiple for the interval of further flushes.
+	// flushIntervalFactor is the interval of further flushes, as a multiple of the same time.
 	flushIntervalFactor = 0.15
 )
 
--- a/pkg/gateway/config.go
+++ b/pkg/gateway/config.go
@@ -33,7 +33,7 @@
 	return true
 }
 
-// coldLimit returns the request rate that all instances together may send to a cold leaf of a
+// coldLimit returns the limit on the requests of all instances together to a cold leaf of a
 // service.
 func (g *Gateway) coldLimit(s routing.Service) replica.ColdLimit {
 	opts := g.opts.Load()
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -123,8 +123,8 @@
 	Route *routing.Route
 	// Relayed is the reply of a single leaf that is passed on unchanged.
 	Relayed *LeafReply
-	// LastFailure is the last leaf's reply to a single request for which there is no
-	// reply to pass on; nil: no leaf was called.
+	// LastFailure is the last leaf's reply to a single request for which there is no reply to
+	// pass on; nil: no leaf was called, or the deadline passed or the caller disconnected.
 	LastFailure *LeafReply
 	// Shards are the results of a query's shards in the route's order; nil for a request that
 	// is no query.
--- a/pkg/gateway/gather.go
+++ b/pkg/gateway/gather.go
@@ -225,7 +225,7 @@
 // On a machine short of processor time a timer and replies become due together. If the timer
 // were processed first, leafs that have already answered would count as slow, and their second
 // requests would use up the budget that a leaf which really is slow needs a moment later. The
-// symptom, seen only next to a busy machine, is that a cold server costs coverage although
+// symptom, seen only on a busy machine, is that shards of a cold server are missing although
 // another server of the shard is healthy.
 func (r *gatherRun) drainReplies() bool {
 	any := false
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -151,8 +151,8 @@
 	require.Zero(t, calls.Load())
 }
 
-// A trial whose caller disconnects, or that has no outcome in time, neither leaves the request
-// in trial forever nor allows another trial at once.
+// A trial whose caller disconnects before it has an outcome neither leaves the request in trial
+// forever nor allows another trial at once.
 func TestTrialWithoutOutcomeIsRepeatedLater(t *testing.T) {
 	g := newGateway(t, 20, func(ctx context.Context, _ LeafCall) LeafReply {
 		<-ctx.Done()
--- a/pkg/gateway/single.go
+++ b/pkg/gateway/single.go
@@ -19,7 +19,8 @@
 // singleRun is the state of one request that goes to a single leaf.
 type singleRun struct {
 	g *Gateway
-	// callerCtx ends when the caller disconnects, callCtx when leaf calls must end.
+	// callerCtx ends when the caller disconnects. Leaf calls run under callCtx, which ends with
+	// the answer or with callerCtx, except for an at-most-once request.
 	callerCtx context.Context
 	callCtx   context.Context
 	req       *Request
--- a/pkg/leafconn/pool.go
+++ b/pkg/leafconn/pool.go
@@ -204,7 +204,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.busy[leaf] {
-		// The goroutine of the request sees the closed connection and counts it.
+		// The goroutine of the request then gets an error and calls p.close, which counts it.
 		_ = c.Conn.Close()
 	}
 }
--- a/pkg/leafconn/roundtrip.go
+++ b/pkg/leafconn/roundtrip.go
@@ -27,8 +27,8 @@
 	// ReplyLost means that the request was sent, and the connection ended or delivered no
 	// valid reply; the request may have run.
 	ReplyLost
-	// ReplyLostOnNewConn is the same in the case that the leaf closed, without sending
-	// anything, a connection that had carried no reply yet.
+	// ReplyLostOnNewConn is like ReplyLost, for a connection that had carried no reply yet and
+	// that the leaf closed without sending one.
 	ReplyLostOnNewConn
 	// TimedOut means that the request was sent and no reply was read in time.
 	TimedOut
@@ -47,7 +47,8 @@
 	Body   []byte
 }
 
-// errBodyTooLarge limits the memory that a leaf can make this process allocate.
+// errBodyTooLarge is returned for a body over Options.MaxReplyBytes, which limits the memory that
+// a leaf can make this process allocate.
 var errBodyTooLarge = errors.New("reply body over the limit")
 
 // RoundTrip sends one request to a leaf and reads its reply until readBy. The connection is
--- a/pkg/longpoll/longpoll.go
+++ b/pkg/longpoll/longpoll.go
@@ -24,7 +24,7 @@
 	// Zero disables the check; the age is then bounded only by the wait and the timeout of a
 	// call.
 	FreshnessInterval time.Duration
-	// FreshnessSlack is how much later than that an answer may arrive before the open call is
+	// FreshnessSlack is how far the age may exceed FreshnessInterval before the open call is
 	// abandoned. Jitter is the maximum of a random time added to it, so that few of several
 	// instances that learn of each other's answers abandon their calls.
 	FreshnessSlack, Jitter time.Duration
@@ -146,7 +146,7 @@
 // RecordAbandoned records a call that was abandoned because the data had become too old.
 func (p *Pacer) RecordAbandoned() { p.probeNext = true }
 
-// RecordFailure records a call that failed after the time took, and returns how long to pause.
+// RecordFailure records a call that lasted took and failed, and returns how long to pause.
 func (p *Pacer) RecordFailure(took time.Duration) time.Duration {
 	p.probeNext = true
 	p.failures++
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -50,7 +50,7 @@
 	Addr string `cbor:"2,keyasint"`
 	Zone string `cbor:"3,keyasint"`
 	// Incarnation is raised by the member each time it refutes a statement about itself. Of two
-	// statements about a member, the one with the higher incarnation wins.
+	// statements about a member, the higher incarnation wins, and then the higher status.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
 	Status      Status `cbor:"5,keyasint,omitempty"`
 	// Capacity is how much work the member can take, in hundredths of a processor.
@@ -69,7 +69,7 @@
 	// IndirectProbes is how many other members are asked to ping one that does not answer.
 	IndirectProbes int
 	// SuspicionTimeout is how long a suspect has to refute before it counts as dead, in a fleet
-	// of 10. It grows with the logarithm of the fleet's size, because gossip takes longer.
+	// of up to 7. It grows with the logarithm of the fleet's size, because gossip takes longer.
 	SuspicionTimeout time.Duration
 	// JoinInterval is how often a seed, or a member believed dead, is contacted, so that the two
 	// sides of a partition find each other again.
@@ -178,7 +178,7 @@
 // Self returns this instance's own description of itself.
 func (s *State) Self() Member { return s.self }
 
-// Changes returns the members whose status changed since the last call.
+// Changes returns the members that are new or whose status changed since the last call.
 func (s *State) Changes() []Member {
 	out := s.changes
 	s.changes = nil
@@ -234,7 +234,7 @@
 }
 
 const (
-	// maxMembers bounds the list: 3 times the largest planned fleet.
+	// maxMembers bounds the list: more than 3 times the largest planned fleet of 1,200.
 	maxMembers = 4096
 	// maxNewPerSecond and maxNewBurst limit how fast the list grows. A fleet of 1,200 is known
 	// within a few seconds.
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -169,7 +169,7 @@
 }
 
 // Guards against each instance working alone for seconds after a whole fleet has lost power, with
-// only the leafs it has learned by then. Here 195 instances start within 0.3 s with the same 3
+// only the leafs it has learned by then. Here 195 instances start within 0.1 s with the same 3
 // seeds, one of which is gone. When member lists were drawn at random, an instance knew its own
 // zone only once it knew nearly all members.
 func TestZoneMembersConvergeAfterSimultaneousStart(t *testing.T) {
--- a/pkg/membership/protocol.go
+++ b/pkg/membership/protocol.go
@@ -186,9 +186,9 @@
 	startupJoinPeriod = 1500 * time.Millisecond
 )
 
-// join looks for unknown members. It requests lists as long as other instances know more members;
-// otherwise it occasionally pings a seed or a member believed dead, so that the two sides of a
-// partition find each other again.
+// join looks for unknown members. It requests lists during startupJoinPeriod and as long as other
+// instances know more members; otherwise it occasionally pings a seed or a member believed dead, so
+// that the two sides of a partition find each other again.
 func (s *State) join(now time.Time) []Envelope {
 	incomplete := s.activeCount() == 0 || s.activeCount()+1 < s.largestCount ||
 		now.Sub(s.startedAt) < startupJoinPeriod
@@ -230,7 +230,7 @@
 }
 
 // pickContact draws the address to contact: a seed or a member believed dead. For a list it
-// prefers an active member, so that not all instances ask the seeds.
+// usually draws an active member instead, so that not all instances ask the seeds.
 func (s *State) pickContact(forList bool) []string {
 	if sameZone := s.UsableIn(s.self.Zone); forList && len(sameZone) > 0 && s.rng.IntN(2) > 0 {
 		return []string{sameZone[s.rng.IntN(len(sameZone))].Addr}
--- a/pkg/quarantine/fleetsim_test.go
+++ b/pkg/quarantine/fleetsim_test.go
@@ -48,7 +48,7 @@
 	leafs []int
 }
 
-// sim is the state of one simulated day.
+// sim is the state of one simulation run of simDuration, which the test's messages call a day.
 type sim struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -65,8 +65,8 @@
 	// incarnations is how often each leaf has crashed, and crashedAt when it last did.
 	incarnations [simShards * simReplicas]int
 	crashedAt    [simShards * simReplicas]time.Time
-	// thirdCrashAt is when the third leaf crashed. lateRetries counts the retries after it that
-	// converged instances sent to leafs.
+	// thirdCrashAt is when the third leaf crashed. lateRetries counts the retries that converged
+	// instances sent to leafs more than simConvergenceTime after it.
 	thirdCrashAt time.Time
 	leafsCrashed int
 	lateRetries  int
@@ -233,8 +233,8 @@
 	}
 }
 
-// run simulates a day on which a crashing request arrives every few tenths of a second at random
-// instances, beside a harmless request at the same rate.
+// run simulates simDuration, in which a crashing request arrives every few tenths of a second at
+// random instances, beside a harmless request at the same rate.
 func (s *sim) run() {
 	crashing, harmless := key(0), key(1)
 	shards := 1 + s.rng.IntN(20)
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -14,8 +14,8 @@
 	// Suspect means that leafs have crashed while they had the request. It is tried at one leaf,
 	// and is sound again if that leaf answers.
 	Suspect
-	// Quarantined means that the request also crashed a leaf in a trial. For some time it is
-	// not sent to any leaf.
+	// Quarantined means that a trial of the request crashed a leaf or had no result. For some time
+	// the request is not sent to any leaf.
 	Quarantined
 )
 
@@ -68,7 +68,8 @@
 	// crashIDs identify the crashes of leafs that had the request, so that they can be merged
 	// with those that other instances saw.
 	crashIDs []uint64
-	// leaf is the leaf that crashed last; it belongs to service.
+	// leaf is the leaf that crashed last, and service its service. leaf is empty if another
+	// instance reported that crash.
 	leaf, service string
 	// lastCrash is the time of the last crash.
 	lastCrash time.Time
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -119,7 +119,8 @@
 // Admission says how a request may be sent.
 type Admission struct {
 	// Verdict is Suspect if the request must be tried at one leaf, preferably one of Service.
-	// RecordTrial must then be called with the outcome.
+	// RecordTrial must then be called with the outcome. Verdict is Quarantined also while another
+	// attempt of the request is being tried.
 	Verdict Verdict
 	Service string
 	// RetryAfter is the delay after which a quarantined request may be sent again.
--- a/pkg/replica/dump.go
+++ b/pkg/replica/dump.go
@@ -19,8 +19,8 @@
 	InFlight int  `json:"in_flight"`
 	// Slowness is the smoothed ratio of the leaf's latency to the typical latency of the
 	// requests' classes. Refusals is the smoothed fraction of requests that the leaf refused or
-	// failed, and Failures the number of consecutive connection failures. SilentMs is how long
-	// the leaf has replied to nothing although a request of this instance waits for it.
+	// failed, and Failures the number of consecutive connection failures. SilentMs is the
+	// time without any reply while a request of this instance is in flight there.
 	Slowness float64 `json:"slowness"`
 	Refusals float64 `json:"refusals"`
 	Failures int     `json:"failures"`
--- a/pkg/replica/leaf_record.go
+++ b/pkg/replica/leaf_record.go
@@ -30,8 +30,8 @@
 	refusalWeight = 0.2
 	// refusalHalfLife is the half-life of the refusal rate without new outcomes.
 	refusalHalfLife = time.Second
-	// coldSlowness is the slowness assumed for a leaf that has just started, until its replies
-	// show the actual one.
+	// coldSlowness is the slowness assumed for a leaf that reports to be cold when its record is
+	// created, until its replies show the actual one.
 	coldSlowness = 1.6
 	// downThreshold is the number of consecutive connection failures after which a leaf is down.
 	downThreshold = 2
--- a/pkg/replica/membership.go
+++ b/pkg/replica/membership.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// SetDraining sets whether a leaf is draining, as learned from a source other than the
-// published list: the leaf's replies say so earlier than the list, and a list whose IDs survive
-// a restart says when the leaf is back. It reports whether this is a change.
+// SetDraining sets whether a leaf is draining, as learned from a source other than its reports.
+// The leaf's replies announce draining earlier than the published list does, and a list whose
+// IDs survive a restart shows when the leaf is back. It reports whether this is a change.
 func (t *Table) SetDraining(id string, draining bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/replica/placement.go
+++ b/pkg/replica/placement.go
@@ -31,7 +31,7 @@
 	maxRefusalRate = 0.95
 )
 
-// PlaceResult says whether a leaf was found, and why not.
+// PlaceResult says whether a leaf was found and, if not, why.
 type PlaceResult int
 
 const (
@@ -39,10 +39,10 @@
 	Placed PlaceResult = iota
 	// NoLeaf means that no listed leaf accepts new requests.
 	NoLeaf
-	// AllDown means that the listed leafs do not accept connections.
+	// AllDown means that the listed leafs are down or in suspected zones.
 	AllDown
-	// AllBusy means that this instance uses all its connections to each of the leafs, or that
-	// they are cold and have received this instance's share.
+	// AllBusy means that this instance uses all its connections to each reachable leaf, or that
+	// the leaf is cold and has received this instance's share.
 	AllBusy
 )
 
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -48,7 +48,7 @@
 	// LapseGrace is how long leafs that vanished from the list stay in use after the store has
 	// recovered from an outage.
 	LapseGrace time.Duration
-	// ConnsPerLeaf is the maximum number of connections to one leaf.
+	// ConnsPerLeaf is the maximum number of connections of this instance to one leaf.
 	ConnsPerLeaf int
 	// Instances is the number of entry instances that share a leaf's connection limit.
 	Instances int
@@ -59,13 +59,14 @@
 	// instance's. OtherZonePenalty is added to that cost.
 	OtherZoneFactor  float64
 	OtherZonePenalty time.Duration
-	// NearestFirst selects the first listed leaf of this instance's zone regardless of its load.
-	// It is the baseline against which placement by expected latency is measured.
+	// NearestFirst selects the first usable leaf of this instance's zone, or of any other zone if
+	// there is none, regardless of its load. It is the baseline against which placement by
+	// expected latency is measured.
 	NearestFirst bool
 	// Budget limits the second requests to each service.
 	Budget BudgetOptions
-	// TieBreaker returns numbers from 0 to 1 that decide between leafs of equal cost. Nil means
-	// random numbers. Replays set it to be reproducible.
+	// TieBreaker returns numbers from 0 to 1 that decide between leafs of nearly equal cost. Nil
+	// means random numbers. Replays set it to be reproducible.
 	TieBreaker func() float64
 }
 
@@ -168,8 +169,8 @@
 }
 
 // connLimit returns the maximum number of requests that this instance may have in flight at a
-// leaf, each on a connection of its own: the number of the leaf's slots, but not more than this
-// instance's share of the published connection limit.
+// leaf, each on a connection of its own. It is the smallest of ConnsPerLeaf, the leaf's slots and
+// this instance's share of the published connection limit, less ReservedConns, but at least 1.
 //
 // A leaf resets connections beyond its limit, which every instance would take for a crash of
 // the leaf. Also, the requests of all instances queue at a leaf that pauses.
--- a/pkg/replica/zones.go
+++ b/pkg/replica/zones.go
@@ -10,7 +10,8 @@
 	// minSilentLeafs is the number of leafs of a zone that must be silent or refuse connections
 	// at the same time. Pauses affect only one leaf at a time.
 	minSilentLeafs = 3
-	// zoneSilenceThreshold is the minimum time without a reply from any leaf of the zone.
+	// zoneSilenceThreshold is the minimum time without a reply: of a leaf to count as silent, and
+	// of all leafs of a zone to suspect the zone.
 	zoneSilenceThreshold = 150 * time.Millisecond
 	// zoneProbeInterval is the time between health checks of a suspected zone.
 	zoneProbeInterval = 300 * time.Millisecond
@@ -36,8 +37,8 @@
 	z.suspected = false
 }
 
-// SuspectZones marks the zones whose leafs have all become silent as suspected, and returns the
-// zones that it has newly marked. It is called on every tick.
+// SuspectZones marks zones as suspected in which several leafs are silent and no leaf replies.
+// It returns the zones that it has newly marked. It is called on every tick.
 //
 // The connections to a partitioned zone hang without an error. If each of its leafs were
 // detected separately, each would cost a request that waits and a second request, and the
