--- a/pkg/cli/load.go
+++ b/pkg/cli/load.go
@@ -57,7 +57,7 @@
 		},
 	}
 	f.add(cmd)
-	// --requests is the length of the run; --concurrency is the number of callers.
+	// --requests is the number of searches; --concurrency is the number of callers.
 	cmd.Flags().StringVar(&text, "text", "", "search text")
 	cmd.Flags().IntVar(&requests, "requests", 1000, "searches to send")
 	cmd.Flags().IntVar(&concurrency, "concurrency", 8, "concurrent callers")
--- a/pkg/cli/standins.go
+++ b/pkg/cli/standins.go
@@ -15,7 +15,7 @@
 )
 
 // killedExitCode is the exit status of a backend server stand-in that executes
-// a kill action.
+// a kill action. Shells report it for a process that SIGKILL ended (128+9).
 const killedExitCode = 137
 
 // BackendCmd runs a backend server stand-in with its settings file.
--- a/pkg/configwatch/watch.go
+++ b/pkg/configwatch/watch.go
@@ -124,8 +124,9 @@
 // reports whether it did. A stale replica of the configuration service, or one that was
 // restored from an old state, answers with an older version. Putting that in force would
 // revert an accepted change, so versions that are not newer are only counted in
-// config_versions_ignored_total. Run and Refresh may call ApplyIfNewer concurrently;
-// without the lock both could pass the comparison and the older version be stored last.
+// config_versions_ignored_total. Run, Refresh and the relay may call ApplyIfNewer
+// concurrently; without the lock two calls could both pass the comparison, and the older
+// version could be stored last.
 func (w *Watcher) ApplyIfNewer(cfg *topology.Config) bool {
 	w.applyMu.Lock()
 	defer w.applyMu.Unlock()
--- a/pkg/configwatch/watch_test.go
+++ b/pkg/configwatch/watch_test.go
@@ -18,8 +18,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// startConfigService starts a configuration service with version 1, an index of 200 shards, whose
-// watches time out after watchTimeoutMs.
+// startConfigService starts a configuration service that has version 1 with an index of 200 shards.
+// Its watches time out after watchTimeoutMs.
 func startConfigService(t *testing.T, watchTimeoutMs int) *configservice.Server {
 	cfg := topology.Config{Version: 1, Backends: []topology.BackendServer{{Name: "u1", Zone: "z", Addr: "127.0.0.1:1"}}}
 	ix := topology.Index{Name: "i", Snapshot: 1}
--- a/pkg/entry/draining.go
+++ b/pkg/entry/draining.go
@@ -8,7 +8,7 @@
 	"github.com/indigoyoke/indigoyoke/pkg/wire"
 )
 
-// drainTimes records when each backend server was last found to be draining.
+// drainTimes records when each backend server was last marked as draining.
 type drainTimes struct {
 	mu    sync.Mutex
 	since map[string]time.Time
@@ -16,14 +16,14 @@
 
 func newDrainTimes() *drainTimes { return &drainTimes{since: make(map[string]time.Time)} }
 
-// record notes that a backend server was found to be draining now.
+// record sets the time at which a backend server was last marked as draining.
 func (d *drainTimes) record(backend string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.since[backend] = now
 }
 
-// recordedWithin reports whether a backend server was found to be draining less than
+// recordedWithin reports whether a backend server was last marked as draining less than
 // age before now.
 func (d *drainTimes) recordedWithin(age time.Duration, backend string, now time.Time) bool {
 	d.mu.Lock()
--- a/pkg/entry/handlers.go
+++ b/pkg/entry/handlers.go
@@ -158,8 +158,9 @@
 	return &admittedRequest{id: id, plan: p, index: ix, indexKey: indexKey(deployment, index), arrived: time.Now(), timeout: timeout}, nil
 }
 
-// effectiveTimeout applies the default (for 0 ms), the minimum and the maximum to the
-// timeout that a caller requested.
+// effectiveTimeout returns the timeout of a request whose caller asked for ms: the default
+// for 0, and never more than the maximum. A value below the minimum is refused with
+// DeadlineTooShort.
 func (e *Entry) effectiveTimeout(ms int) (time.Duration, errcode.Code) {
 	switch {
 	case ms == 0:
--- a/pkg/entry/pause_test.go
+++ b/pkg/entry/pause_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a request being served that waited in a socket buffer while the process
-// was paused. This happens if only the tick checks for a pause and a request is read
+// Guards against serving a request that waited in a socket buffer while the process was
+// paused. This happens if only the tick checks for a pause and a request is read
 // before the first tick after the pause. The test also checks that settling lasts until
 // it is ended.
 func TestFirstRequestAfterPauseIsRefused(t *testing.T) {
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -65,9 +65,9 @@
 	return &peering{agent: agent, server: server}, nil
 }
 
-// sourceAgeSlack is how much older than one cycle of a reader's calls its data may seem before
-// another source is sought. It covers a slow call to the store, and the time between two status
-// messages.
+// sourceAgeSlack is added to the wait of a watch. If the store's last answer to a reader is older
+// than the sum, the instance looks for another reader. The slack covers a slow call to the store,
+// and the time between two status messages.
 const sourceAgeSlack = 500 * time.Millisecond
 
 // capacity returns how much work this instance can take, in hundredths of a processor.
--- a/pkg/node/status.go
+++ b/pkg/node/status.go
@@ -80,12 +80,14 @@
 
 // StoreState describes this instance's knowledge of the platform's store.
 type StoreState struct {
-	// Reading means that it reads the store itself; otherwise its peers feed it.
+	// Reading reports whether the instance reads the store itself; otherwise its peers send it
+	// the changes.
 	Reading bool `json:"reading"`
 	// Era and Revision are the position of the store at the latest known change.
 	Era      int64 `json:"era"`
 	Revision int64 `json:"revision"`
-	// AgeMs is how long ago the store last answered this instance or one that feeds it.
+	// AgeMs is how long ago the store last answered this instance or a peer that sends it the
+	// changes.
 	AgeMs int64 `json:"age_ms"`
 }
 
--- a/pkg/node/store_test.go
+++ b/pkg/node/store_test.go
@@ -83,7 +83,7 @@
 }
 
 // simulateOutages makes the store fail several times, with changes before and after, and returns
-// a description of it.
+// a description of the outages.
 func simulateOutages(f *simFleet, rng *rand.Rand) string {
 	time.Sleep(4 * time.Second)
 	scenario := ""
@@ -128,8 +128,8 @@
 	})
 }
 
-// simulateRestores restores the store several times, from copies of any age. All that was lost is
-// written again at any speed and in any order. It returns a description of it.
+// simulateRestores restores the store several times, each time losing up to 24 writes, which are
+// then made again at a random speed and in a random order. It returns a description of this.
 func simulateRestores(f *simFleet, rng *rand.Rand) string {
 	writeLeafs := func(n int) {
 		for range n {
@@ -181,8 +181,8 @@
 	return scenario
 }
 
-// Guards against instances that tell each other what they were told, and so never detect that the
-// store has been silent to all of them.
+// Guards against instances that take each other's reports for answers of the store, and so never
+// detect that the store answers none of them.
 func TestPeerReportsAreNotStoreAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silent = 6 * time.Second
@@ -201,8 +201,8 @@
 }
 
 // Guards against the bound on the age of the data causing more calls to the store, each of which
-// is billed. While nothing changes, connected instances make at most one call per wait, and after
-// a change one more.
+// is billed. While nothing changes, connected instances make at most one call per wait, and at
+// most two more for each change.
 func TestStoreCallRateOfIdleFleetIsBounded(t *testing.T) {
 	const idle, changes = 60 * time.Second, 6
 	for name, sources := range map[string][][]int{"three": ring(3), "six": ring(6), "eight": ring(8)} {
--- a/pkg/node/storesim_test.go
+++ b/pkg/node/storesim_test.go
@@ -46,7 +46,7 @@
 	mode storeMode
 	// drops rises when the open calls are dropped without an answer, resets when they are reset.
 	drops, resets int
-	// oldestRevision is the oldest one to watch from; muted hides changes from open watches.
+	// oldestRevision is the oldest one to watch from; muted hides changes from watches.
 	oldestRevision int64
 	muted          bool
 	// answerDelay is how long an answer takes.
@@ -62,7 +62,7 @@
 	storeHealthy storeMode = iota
 	storeSilent
 	storeRefusing
-	// storeLossy leaves each third call unanswered.
+	// storeLossy leaves every third call unanswered.
 	storeLossy
 )
 
@@ -179,8 +179,8 @@
 	})
 }
 
-// loseHistory hides changes from open watches while a version is written, then drops the history
-// and resets the watches.
+// loseHistory hides changes from watches while a version is written, then drops the history and
+// resets the watches.
 func (s *simStore) loseHistory(duration time.Duration) {
 	s.update(func() { s.muted = true })
 	time.Sleep(duration / 2)
@@ -326,7 +326,7 @@
 	stop     context.CancelFunc
 	ctx      context.Context
 	mu       sync.Mutex
-	// knownAt is when the instance knew each version or a later one.
+	// knownAt is when the instance first knew each version or a later one.
 	knownAt       map[int64]time.Time
 	newestVersion int64
 	// leafs are the IDs of the leafs in use.
@@ -593,17 +593,17 @@
 	return out
 }
 
-// maxConfigDelay is how soon each instance must know a configuration after the store has
-// confirmed it or has recovered, whichever is later.
+// maxConfigDelay is how soon each instance must know a configuration after it was written, the
+// store has recovered, or the instance has started or resumed, whichever is latest.
 const maxConfigDelay = 2 * time.Second
 
-// requireConfigsKnown fails if an instance knew a version later than maxConfigDelay.
+// requireConfigsKnown fails if an instance took longer than maxConfigDelay to know a version.
 func (f *simFleet) requireConfigsKnown(t *testing.T, msg ...any) {
 	t.Helper()
 	f.requireConfigsKnownWithin(t, maxConfigDelay, msg...)
 }
 
-// requireConfigsKnownWithin fails if an instance knew a version later than a limit.
+// requireConfigsKnownWithin fails if an instance took longer than within to know a version.
 func (f *simFleet) requireConfigsKnownWithin(t *testing.T, within time.Duration, msg ...any) {
 	t.Helper()
 	for version, writtenAt := range f.store.writtenAt {
--- a/pkg/oplog/oplog.go
+++ b/pkg/oplog/oplog.go
@@ -41,7 +41,7 @@
 	// base holds the fields of every line.
 	base Fields
 	out  *logrus.Logger
-	// lines is the buffer; nil in it ends the writer.
+	// lines is the buffer; a nil entry ends the writer.
 	lines chan *logrus.Entry
 	// done is closed when the writer has ended.
 	done   chan struct{}
@@ -133,7 +133,8 @@
 	return l.opts.MinLevel == 0 || levelOf(event) <= l.opts.MinLevel
 }
 
-// enqueue never blocks: if the buffer is full, the line is dropped and counted.
+// enqueue adds a line to the buffer. It never blocks: if the buffer is full, the
+// line is dropped and counted.
 func (l *Log) enqueue(event string, fields Fields) {
 	if l.closed.Load() {
 		return
--- a/pkg/peers/batchserver.go
+++ b/pkg/peers/batchserver.go
@@ -143,9 +143,9 @@
 // resolveLeaf returns the leaf with the given index as this instance knows it, or else as the
 // batch describes it.
 //
-// A peer that cannot reach the store does not learn of new leafs. If it refused them, each would
-// appear unreachable, and a newly deployed set of shards would appear down to all instances that
-// send their batches through that peer.
+// An instance that cannot reach the store does not learn of new leafs. If it refused them, each
+// would appear unreachable, and a newly deployed set of shards would appear down to all instances
+// that send their batches through this one.
 func (w *batchRun) resolveLeaf(i int) replica.Leaf {
 	described := parseLeaf(w.leafs[i])
 	if known, ok := w.c.s.table.Leaf(described.ID); ok {
--- a/pkg/peers/burst.go
+++ b/pkg/peers/burst.go
@@ -51,7 +51,7 @@
 // a shard when one leaf sheds load. Divided among the few gatherers, the budget of a window covers
 // an overload of some seconds. The zones have equal shares, so that a zone that is cut off from the
 // others knows its own. Within a zone the counts do not fall for a minute, and a part that sees
-// less than half of its zone uses only the small share.
+// at most half of its zone uses only othersShare.
 func (s *burstShare) compute(r roles, members []membership.Member, zone string, now time.Time) replica.BurstLimits {
 	if s.budget.Total <= 0 {
 		return replica.BurstLimits{}
@@ -82,7 +82,8 @@
 	return b
 }
 
-// initialBurst is the share that an instance may use immediately after its start.
+// initialBurst is the number of second requests that an instance may send immediately after its
+// start. Its share then grows linearly for one window.
 const initialBurst = 2
 
 // rampUp limits the share of an instance that has just started: what the previous process of the
--- a/pkg/peers/clientconn.go
+++ b/pkg/peers/clientconn.go
@@ -24,7 +24,8 @@
 	// onFeedStatus and onUpdate receive frames about the store; nil if no feed is used.
 	onFeedStatus func(*clientConn, feedStatus)
 	onUpdate     func(*clientConn, []byte) error
-	// subscribed reports whether the peer was asked for its feed. Peers.mu guards it.
+	// subscribed reports whether the peer was asked for its feed, and subscribedAt when that last
+	// changed or was renewed. Peers.mu guards both.
 	subscribed   bool
 	subscribedAt time.Time
 
@@ -44,7 +45,7 @@
 	lastFrameAt atomic.Pointer[time.Time]
 	// rtt is the round-trip time of queries.
 	rtt rttEstimator
-	// batchRTT is the moving average of the round-trip time of batches.
+	// batchRTT is the moving average of the round-trip time of batches; 0 before the first.
 	batchRTT time.Duration
 }
 
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -199,7 +199,7 @@
 }
 
 // Guards against leafs that keep working for callers that have left: the instance of the caller
-// cancels the batch or fails itself.
+// cancels the batch or closes its connection to the peer.
 func TestLeafCallsAreCancelledWhenCallerLeaves(t *testing.T) {
 	for name, leave := range map[string]func(*serverFixture, func()){
 		"cancelled":  func(_ *serverFixture, cancel func()) { cancel() },
--- a/pkg/peers/quarantine_test.go
+++ b/pkg/peers/quarantine_test.go
@@ -12,8 +12,8 @@
 	"github.com/indigoyoke/indigoyoke/pkg/replica"
 )
 
-// Guards against leafs that crash because the instance with the request does not know yet that it
-// is quarantined. A peer in another zone that knows it must not send the request to its leafs.
+// Guards against leafs that crash because the instance that runs a query does not know yet that the
+// request is quarantined. A peer in another zone that knows it must not send it to its leafs.
 func TestPeerRefusesQuarantinedRequests(t *testing.T) {
 	b := newServerFixture(t, func(_ context.Context, call gateway.LeafCall) gateway.LeafReply { return successReply(call) })
 	table := quarantine.NewTable()
--- a/pkg/peers/queryserver.go
+++ b/pkg/peers/queryserver.go
@@ -175,7 +175,8 @@
 	return f
 }
 
-// scheduleHeartbeat sends heartbeats as long as batches or queries are open.
+// scheduleHeartbeat schedules the next heartbeat, which schedules the one after it. The heartbeats
+// end when no batch and no query is open.
 func (c *serverConn) scheduleHeartbeat() {
 	if c.heartbeatScheduled.Swap(true) {
 		return
--- a/pkg/peers/server.go
+++ b/pkg/peers/server.go
@@ -90,8 +90,8 @@
 			return
 		}
 		if err != nil {
-			// File descriptors may be exhausted temporarily. If Run returned, this zone
-			// would be without a peer permanently.
+			// File descriptors may be exhausted temporarily. If Run returned, this instance
+			// would accept no peer any more.
 			s.log.Decision("peer_accept_failed", oplog.Fields{"error": err.Error()})
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -104,9 +104,9 @@
 	}
 }
 
-// maxAwaitingHello is the maximum number of open connections that have not sent a hello frame:
-// those of the instances of a fleet that connect at the same moment. They have 2 s for it
-// (helloTimeout).
+// maxAwaitingHello is the maximum number of open connections that have not sent a hello frame.
+// It allows for the instances of a fleet that connect at the same moment. Each connection has 2 s
+// to send the frame (helloTimeout).
 const maxAwaitingHello = 64
 
 // admit registers a connection and reports whether it is accepted.
--- a/pkg/peers/subscriber.go
+++ b/pkg/peers/subscriber.go
@@ -13,8 +13,8 @@
 type feedSubscriber struct {
 	store Store
 	plan  *feed.Planner
-	// maxAge is the maximum age of the store's last answer to a peer that counts as a working
-	// reader.
+	// maxAge is how long ago the store may have answered a peer for the peer to count as a
+	// working reader.
 	maxAge time.Duration
 	// firstStart means that all instances of the deployment start for the first time, and know
 	// few of each other yet.
@@ -136,7 +136,7 @@
 }
 
 // resubscribeInterval is how long a publisher may send no status before the subscription is
-// renewed: two requests may have arrived in the wrong order.
+// renewed: requests are sent concurrently, so an end may have arrived after a later start.
 const resubscribeInterval = 3 * feedStatusTimeout
 
 // updateSubscriptions subscribes to the peers in names and unsubscribes from the others. mu must be
@@ -147,7 +147,7 @@
 	}
 	now := time.Now()
 	for name, c := range p.conns {
-		// A subscription without any status is renewed.
+		// A subscription without a recent status is renewed.
 		silent := c.subscribed && now.Sub(p.subscriber.statuses[name].receivedAt) > resubscribeInterval &&
 			now.Sub(c.subscribedAt) > resubscribeInterval
 		if names[name] != c.subscribed || (names[name] && silent) {
--- a/pkg/relay/exchange.go
+++ b/pkg/relay/exchange.go
@@ -100,7 +100,7 @@
 }
 
 // quarantineReports returns the reports for a regular query or response: some of the suspected and
-// quarantined requests, others each time.
+// quarantined requests, a different selection each time.
 func (r *Relay) quarantineReports() []quarantine.Report {
 	return r.quarantine.AntiEntropyReports(maxReports, time.Now())
 }
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,10 +1,10 @@
 // Package relay implements the protocol between entry instances. Each instance queries
-// its peers in turn over QUIC, one per second, for a deployment configuration that is newer
-// than its own. So an entry instance that starts while the platform's configuration service
-// is down still gets a configuration, and an accepted change reaches a zone that has lost
-// the service, or that sees a stale replica of it, but can reach its peers. Nothing is
-// stored: a peer sends the configuration that it has in force, and no configuration is
-// replaced by an older version.
+// its peers in turn over QUIC, one per Options.Interval (1 s by default), for a deployment
+// configuration that is newer than its own. So an entry instance that starts while the
+// platform's configuration service is down still gets a configuration, and an accepted
+// change reaches a zone that has lost the service, or that sees a stale replica of it, but
+// can reach its peers. Nothing is stored: a peer sends the configuration that it has in
+// force, and no configuration is replaced by an older version.
 //
 // Queries and responses also carry quarantine reports: what an instance knows of requests
 // that crash leafs.
--- a/pkg/settings/node_test.go
+++ b/pkg/settings/node_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against waits, timeouts and pauses that add up to more than the time within which a change
-// must take effect, and against settings with such a time that are accepted nevertheless.
+// must take effect, and against accepting settings whose declared time is too short for them.
 func TestPropagationDelayStaysWithinDeclaredDeadlines(t *testing.T) {
 	for apply := 100; apply <= 60000; apply += 100 {
 		n := NodeDefaults()
--- a/pkg/standin/backend/control.go
+++ b/pkg/standin/backend/control.go
@@ -67,13 +67,13 @@
 	Index string `json:"index,omitempty"`
 	// Snapshot is the version that publish adds and drop removes.
 	Snapshot int64 `json:"snapshot,omitempty"`
-	// Zones lists the availability zones whose leaf requests cut drops.
+	// Zones lists the availability zones whose leaf requests are dropped under cut.
 	Zones []string `json:"zones,omitempty"`
 	// To is the address of the backend server that takes over the shard in hand_off.
 	To string `json:"to,omitempty"`
 	// Text is the search text or hold item on which the server crashes under end_on.
 	Text string `json:"text,omitempty"`
-	// State is the shard that adopt transfers from one backend server to another.
+	// State is the shard that the server takes over in adopt, with its hold records.
 	State *shardState `json:"state,omitempty"`
 }
 
--- a/pkg/standin/backend/limit.go
+++ b/pkg/standin/backend/limit.go
@@ -21,7 +21,6 @@
 }
 
 // limitConn is a connection that counts against the limit of ln until it is closed.
-
 type limitConn struct {
 	net.Conn
 	ln   *limitListener
--- a/pkg/standin/configservice/instances.go
+++ b/pkg/standin/configservice/instances.go
@@ -122,7 +122,7 @@
 	return d, visible > after
 }
 
-// trackWaitingWatch counts a watch that waits for news after a version of the instance
+// trackWaitingWatch counts a watch that waits for reports after a version of the instance
 // list, until the returned function is called.
 func (p *Server) trackWaitingWatch(after int) (done func()) {
 	p.mu.Lock()
--- a/pkg/standin/configservice/server.go
+++ b/pkg/standin/configservice/server.go
@@ -136,7 +136,8 @@
 // Stop stops serving.
 func (p *Server) Stop(ctx context.Context) error { return p.srv.Stop(ctx) }
 
-// Calls returns the number of calls so far. A watch counts once, however long it waits.
+// Calls returns the number of reads and watches so far, without those from partitioned zones. A
+// watch counts once, however long it waits.
 func (p *Server) Calls() uint64 { return p.calls.Get() }
 
 // InstanceCalls returns the number of calls so far that read or watch the instance list.
